--- a/bergamotcourse/coordination/__init__.py
+++ b/bergamotcourse/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""How processes act together: routing, claims, leases and membership."""
+"""Coordination of processes: routing, claims, leases and membership."""
--- a/bergamotcourse/coordination/answer_recovery.py
+++ b/bergamotcourse/coordination/answer_recovery.py
@@ -1,9 +1,10 @@
-"""Finding out what became of a submission whose claimant does not answer.
+"""Recovery of the outcome of a submission whose claimant does not respond.
 
-Every agent is asked which of its tasks it started. This is asked only once no start of
-the attempt can be admitted any more. If no agent started any, and every agent that may
-have done so has answered, the submission is proved not run and may be claimed anew. If
-all tasks' results are still kept, they are the answer. All else is unknown.
+Every agent is queried for the tasks of the submission that it started. The verdict that
+nothing was started counts only once no start of the attempt can be admitted any more.
+If no agent started a task, and every agent that may have done so has replied, the
+submission is proved not run and may be claimed again. If the results of all tasks are
+still stored, they are the answer. In all other cases the outcome is unknown.
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,28 +15,28 @@
 from expression import Result
 
 from bergamotcourse.coordination.agents import AgentDirectory
-from bergamotcourse.coordination.lease_view import DRIFT_SHARE
+from bergamotcourse.coordination.lease_view import MAX_CLOCK_DRIFT_RATIO
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import AgentId, LinkAddress, SubmissionId
 from bergamotcourse.protocol.mailer import Mailer
 from bergamotcourse.protocol.messages import Bar, BarReply, TaskResult
 
-ASK_TIMEOUT_SECONDS = 0.5
-POLL_SECONDS = 0.2
-ONLY_ASK = 0
-"""As the attempt of a ``Bar``."""
+AGENT_QUERY_TIMEOUT_SECONDS = 0.5
+RUNNING_POLL_SECONDS = 0.2
+QUERY_ONLY_ATTEMPT = 0
+"""Attempt number in a ``Bar`` that queries the start log without barring an attempt."""
 
 
-class Finding(Enum):
-    """What the agents' answers prove.
+class RecoveryVerdict(Enum):
+    """State of a submission as proved by the agents' replies.
 
     Attributes:
         NOT_STARTED: No task was started.
         PARTIAL: Some tasks have results; the others were not started.
-        RUNNING: Some tasks still run.
+        RUNNING: Some tasks are still running.
         FINISHED: All tasks have results.
-        CONFLICT: Another request was started under the key.
-        UNPROVED: None of these.
+        CONFLICT: A different request was started under the same key.
+        UNPROVED: The replies prove none of the above.
     """
 
     NOT_STARTED = "not started"
@@ -47,12 +48,12 @@
 
 
 @dataclass(frozen=True)
-class Lost:
-    """A submission whose claimant does not answer.
+class LostSubmission:
+    """A submission whose claimant does not respond.
 
     Attributes:
-        tasks: The number of its tasks.
-        age_ms: Since the claim was made, at the most.
+        tasks: Number of its tasks.
+        age_ms: Upper bound of the time since the claim was made, in milliseconds.
     """
 
     id: SubmissionId
@@ -62,20 +63,25 @@
 
 
 @dataclass
-class Findings:
-    """The agents' answers together."""
+class RecoveryFindings:
+    """The combined replies of the agents.
 
-    finding: Finding
+    Attributes:
+        results: Task results by the task's index.
+    """
+
+    verdict: RecoveryVerdict
     results: dict[int, TaskResult] = field(default_factory=dict)
 
 
 class AnswerRecovery:
-    """Asks all agents about one submission.
+    """Queries all agents about one submission.
 
     Attributes:
-        list_agents: Brings the directory up to date; returns whether the platform
-            answered. Entries learn of agents from the platform only: all that any
-            entry knew before are then in the directory, or have left.
+        list_agents: Updates the directory from the platform and returns whether the
+            platform answered. Entries discover agents through the platform only, so
+            after an update every agent that any entry knew before is either in the
+            directory or has left.
     """
 
     def __init__(
@@ -90,38 +96,45 @@
         self.mailer = mailer
         self.timers = timers
 
-    async def find(self, lost: Lost, deadline: float) -> Findings:
-        """Ask until the tasks are final, nothing more can be proved, or too late."""
-        asked_at = self.timers.now()
+    async def determine_outcome(
+        self, lost: LostSubmission, deadline: float
+    ) -> RecoveryFindings:
+        """Query the agents until no task is running or the deadline is near.
+
+        Args:
+            lost: The submission.
+            deadline: Seconds on this process's clock.
+        """
+        query_started = self.timers.now()
         complete = await self.list_agents()
         agents = {view.id: view.address for view in self.directory}
-        oldest = lost.age_ms / 1000 * (1 + DRIFT_SHARE)
-        if self.directory.departed_since(asked_at - oldest):
+        max_age_seconds = lost.age_ms / 1000 * (1 + MAX_CLOCK_DRIFT_RATIO)
+        if self.directory.departed_since(query_started - max_age_seconds):
             complete = False
-        replies = await self._ask(lost, agents)
+        replies = await self._query_agents(lost, agents)
         proved = complete and all(
-            agent in replies and _remembers(replies[agent], lost.age_ms)
+            agent in replies and _log_covers_claim(replies[agent], lost.age_ms)
             for agent in agents
         )
         while True:
-            findings = _judge(lost, list(replies.values()), proved)
-            late = self.timers.now() + POLL_SECONDS >= deadline
-            if findings.finding is not Finding.RUNNING or late:
+            findings = _evaluate_replies(lost, list(replies.values()), proved)
+            deadline_near = self.timers.now() + RUNNING_POLL_SECONDS >= deadline
+            if findings.verdict is not RecoveryVerdict.RUNNING or deadline_near:
                 return findings
-            await trio.sleep(POLL_SECONDS)
+            await trio.sleep(RUNNING_POLL_SECONDS)
             running = {agent for agent, reply in replies.items() if reply.running}
-            replies |= await self._ask(lost, {a: agents[a] for a in running})
+            replies |= await self._query_agents(lost, {a: agents[a] for a in running})
 
-    async def _ask(
-        self, lost: Lost, agents: dict[AgentId, LinkAddress]
+    async def _query_agents(
+        self, lost: LostSubmission, agents: dict[AgentId, LinkAddress]
     ) -> dict[AgentId, BarReply]:
         replies: dict[AgentId, BarReply] = {}
 
-        async def ask(agent: AgentId, address: LinkAddress) -> None:
+        async def query(agent: AgentId, address: LinkAddress) -> None:
             reply = await self.mailer.request(
                 address,
-                lambda message_id: Bar(message_id, lost.id, ONLY_ASK),
-                ASK_TIMEOUT_SECONDS,
+                lambda message_id: Bar(message_id, lost.id, QUERY_ONLY_ATTEMPT),
+                AGENT_QUERY_TIMEOUT_SECONDS,
             )
             match reply:
                 case Result(tag="ok", ok=BarReply() as answer):
@@ -131,25 +144,29 @@
 
         async with trio.open_nursery() as nursery:
             for agent, address in agents.items():
-                nursery.start_soon(ask, agent, address)
+                nursery.start_soon(query, agent, address)
         return replies
 
 
-def _remembers(reply: BarReply, age_ms: int) -> bool:
-    """Return whether the agent knows all starts since before the claim."""
-    return reply.first or reply.up_ms > age_ms * (1 + DRIFT_SHARE)
+def _log_covers_claim(reply: BarReply, age_ms: int) -> bool:
+    """Return whether the agent's start log reaches back to before the claim."""
+    return reply.first or reply.up_ms > age_ms * (1 + MAX_CLOCK_DRIFT_RATIO)
 
 
-def _judge(lost: Lost, replies: list[BarReply], proved: bool) -> Findings:
+def _evaluate_replies(
+    lost: LostSubmission, replies: list[BarReply], proved: bool
+) -> RecoveryFindings:
     if any(reply.digest not in (b"", lost.digest) for reply in replies):
-        return Findings(Finding.CONFLICT)
+        return RecoveryFindings(RecoveryVerdict.CONFLICT)
     started = {index for reply in replies for index in reply.started}
     running = {index for reply in replies for index in reply.running}
     results = {r.index: r for reply in replies for r in reply.results}
     if len(results) == lost.tasks:
-        return Findings(Finding.FINISHED, results)
+        return RecoveryFindings(RecoveryVerdict.FINISHED, results)
     if running - results.keys():
-        return Findings(Finding.RUNNING, results)
+        return RecoveryFindings(RecoveryVerdict.RUNNING, results)
     if not proved or started - results.keys():
-        return Findings(Finding.UNPROVED, results)
-    return Findings(Finding.PARTIAL if results else Finding.NOT_STARTED, results)
+        return RecoveryFindings(RecoveryVerdict.UNPROVED, results)
+    return RecoveryFindings(
+        RecoveryVerdict.PARTIAL if results else RecoveryVerdict.NOT_STARTED, results
+    )
--- a/bergamotcourse/coordination/claimant.py
+++ b/bergamotcourse/coordination/claimant.py
@@ -1,4 +1,4 @@
-"""The claimant's side of claims: finding the owner and asking it."""
+"""The claimant's side of claims: locating the range owner and requesting a claim."""
 
 from dataclasses import dataclass, replace
 
@@ -30,20 +30,20 @@
 from bergamotcourse.state.submission import Grant, Submission
 
 CLAIM_TIMEOUT_SECONDS = 1.5
-"""Longer than an owner waits for its journal."""
+"""Exceeds the longest time for which an owner waits for its journal write."""
 
-CONFIRM_SECONDS = 0.5
-SHORTEST_WAIT_SECONDS = 0.02
-FIRST_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 0.5
+CONFIRM_TIMEOUT_SECONDS = 0.5
+MIN_CLAIM_TIMEOUT_SECONDS = 0.02
+INITIAL_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
-class Proof:
-    """An attempt of which it is proved that no task started, and none can.
+class NotStartedProof:
+    """Proof that no task of an attempt was started and none can be started any more.
 
     Attributes:
-        grant: Number of its newest grant when the proof began.
+        grant: Number of the attempt's newest grant when the proof was begun.
     """
 
     attempt: Attempt
@@ -52,11 +52,13 @@
 
 @dataclass(frozen=True)
 class ClaimRequest:
-    """What a claim is asked with.
+    """Parameters of a claim.
 
     Attributes:
-        run: Random number of the run that asks.
-        held_attempt: The attempt that it has, to be renewed; 0 for none.
+        run: Random number that identifies the requesting run.
+        held_attempt: Attempt that the claimant holds and wants renewed; 0 for none.
+        proof: Proof that a former attempt was not started, or ``None``.
+        lookup: Return the holder of the claim without requesting a grant.
     """
 
     submission: SubmissionId
@@ -65,12 +67,12 @@
     write_ahead: bool = False
     run: int = 0
     held_attempt: Attempt = Attempt(0)
-    proof: Proof | None = None
+    proof: NotStartedProof | None = None
     lookup: bool = False
 
     @property
     def range(self) -> RangeId:
-        """Return the range that the key falls into."""
+        """Return the range that contains the key."""
         match self.key:
             case HandedOutKey(range=range_id):
                 return range_id
@@ -79,11 +81,11 @@
 
 
 class Claimant:
-    """Asks the owners of ranges for claims.
+    """Requests claims from the owners of ranges.
 
     Attributes:
-        patience_seconds: How long a claim is tried again while its range has no
-            owner that answers.
+        claim_retry_seconds: How long a claim is retried while no owner of its range
+            responds.
     """
 
     def __init__(
@@ -93,98 +95,113 @@
         view: LeaseView,
         mailer: Mailer,
         timers: Timers,
-        patience_seconds: float,
+        claim_retry_seconds: float,
     ):
         self.service = service
         self.ownership = ownership
         self.view = view
         self.mailer = mailer
         self.timers = timers
-        self.patience_seconds = patience_seconds
+        self.claim_retry_seconds = claim_retry_seconds
 
     @property
-    def me(self) -> EntryId:
+    def entry_id(self) -> EntryId:
         """Return this entry's id."""
         return self.ownership.lease.entry
 
     async def claim(
         self, request: ClaimRequest, deadline: float
     ) -> tuple[ClaimReply, Grant | None]:
-        """Claim a submission, trying again while no owner answers."""
-        give_up_at = min(deadline, self.timers.now() + self.patience_seconds)
-        pause = FIRST_PAUSE_SECONDS
+        """Claim a submission, retrying with backoff while no owner responds.
+
+        Args:
+            request: Parameters of the claim.
+            deadline: Seconds on this process's clock.
+
+        Returns:
+            The owner's reply, and the grant if the claim was granted.
+        """
+        retry_deadline = min(deadline, self.timers.now() + self.claim_retry_seconds)
+        backoff = INITIAL_BACKOFF_SECONDS
         while True:
-            asked_at = self.timers.now()
-            left = max(SHORTEST_WAIT_SECONDS, give_up_at - asked_at)
-            reply = await self._ask_owner(request, min(CLAIM_TIMEOUT_SECONDS, left))
+            requested_at = self.timers.now()
+            left = max(MIN_CLAIM_TIMEOUT_SECONDS, retry_deadline - requested_at)
+            reply = await self._send_claim(request, min(CLAIM_TIMEOUT_SECONDS, left))
             match reply:
                 case Granted(epoch=epoch, attempt=attempt, valid_ms=valid_ms):
-                    until = asked_at + valid_ms / 1000
+                    until = requested_at + valid_ms / 1000
                     return reply, Grant(request.range, epoch, attempt, until)
                 case ClaimRefused(retry_after_ms=retry_after_ms) if retry_after_ms:
-                    if self.timers.now() + pause >= give_up_at:
+                    if self.timers.now() + backoff >= retry_deadline:
                         return reply, None
                 case _:
                     return reply, None
-            await trio.sleep(pause)
-            pause = min(2 * pause, LONGEST_PAUSE_SECONDS)
+            await trio.sleep(backoff)
+            backoff = min(2 * backoff, MAX_BACKOFF_SECONDS)
             await self.view.refresh_range(request.range, range_key(request.range))
 
     async def look_up(self, request: ClaimRequest) -> ClaimReply:
-        """Ask the owner once who holds the claim of a submission."""
-        return await self._ask_owner(replace(request, lookup=True))
+        """Query the owner once for the holder of a submission's claim."""
+        return await self._send_claim(replace(request, lookup=True))
 
     def unkeyed_grant(self) -> Grant:
-        """Return the grant for a request that no one can submit again."""
+        """Return the grant for a request without a key, which cannot be resubmitted."""
         return Grant(UNKEYED_RANGE, FIRST_EPOCH, Attempt(1), float("inf"))
 
-    def holds(self, submission: Submission) -> bool:
-        """Return whether a submission's grant lets it start now."""
+    def permits_start(self, submission: Submission) -> bool:
+        """Return whether a submission's grant permits starting tasks now."""
         grant = submission.grant
         now = self.timers.now()
         if grant.range == UNKEYED_RANGE:
             return True
-        owned = self.ownership.holds(grant.range, now)
+        owned = self.ownership.held_range(grant.range, now)
         if owned is not None and owned.epoch == grant.epoch:
             return owned.state is RangeState.READY
         return now < grant.valid_until
 
     def fenced_out(self, submission: Submission) -> None:
-        """Note that a submission's grant is of an owner that was taken over."""
+        """Invalidate a submission's grant, because an agent knows a newer epoch.
+
+        If this entry owns the range, it grants nothing more until the platform confirms
+        its ownership.
+        """
         grant = submission.grant
         if grant.range != UNKEYED_RANGE:
             grant.valid_until = 0.0
-            self.ownership.question(grant.range, grant.epoch)
+            self.ownership.suspend_range(grant.range, grant.epoch)
 
-    async def look_for_owner(self, grant: Grant) -> None:
-        """Learn who took over the owner of a grant, if it was found to be fenced."""
+    async def refresh_fenced_owner(self, grant: Grant) -> None:
+        """Reload the owner of a grant's range if the grant was found to be fenced."""
         if not grant.valid_until:
             await self.view.refresh_range(grant.range, range_key(grant.range))
 
-    def finished(self, submission: Submission, outcome: Outcome) -> None:
-        """Tell the owner the final outcome."""
-        message = self._finished(0, submission, outcome)
+    def report_outcome(self, submission: Submission, outcome: Outcome) -> None:
+        """Report the final outcome to the owner, without acknowledgement."""
+        message = self._finished_message(0, submission, outcome)
         if submission.grant.range in self.ownership.owned:
-            self.service.finished(message)
+            self.service.record_outcome(message)
             return
         address = self._owner_address(submission.grant.range)
         if address is not None:
             self.mailer.post(address, message)
 
-    async def confirm_finished(self, submission: Submission, outcome: Outcome) -> bool:
-        """Tell the owner the outcome; return whether no one else held the claim.
+    async def confirm_outcome(self, submission: Submission, outcome: Outcome) -> bool:
+        """Report the outcome to the owner and return whether the claim was exclusive.
 
-        Only then what did not run under this claim did not run under the key.
+        Only if no other claimant held the claim does a task that did not run under this
+        claim count as not run under the key.
         """
         if submission.grant.range in self.ownership.owned:
-            return self.service.finished(self._finished(0, submission, outcome))
+            return self.service.record_outcome(
+                self._finished_message(0, submission, outcome)
+            )
         address = self._owner_address(submission.grant.range)
         if address is None:
             return False
         reply = await self.mailer.request(
             address,
-            lambda message_id: self._finished(message_id, submission, outcome),
-            CONFIRM_SECONDS,
+            lambda message_id: self._finished_message(message_id, submission, outcome),
+            CONFIRM_TIMEOUT_SECONDS,
         )
         match reply:
             case Result(tag="ok", ok=FinishedReply(held=held)):
@@ -192,27 +209,27 @@
             case _:
                 return False
 
-    async def _ask_owner(
+    async def _send_claim(
         self, request: ClaimRequest, timeout: float = CLAIM_TIMEOUT_SECONDS
     ) -> ClaimReply:
         if request.range in self.ownership.owned:
-            message = self._message(0, request)
-            return await self.service.answer(self.mailer.link.address, message)
+            message = self._claim_message(0, request)
+            return await self.service.handle_claim(self.mailer.link.address, message)
         address = self._owner_address(request.range)
         if address is None:
-            return self._no_owner("the key's range has no owner that is known")
+            return self._owner_unavailable("the key's range has no owner that is known")
         reply = await self.mailer.request(
             address,
-            lambda message_id: self._message(message_id, request),
+            lambda message_id: self._claim_message(message_id, request),
             timeout,
         )
         match reply:
             case Result(tag="ok", ok=answer):
                 return answer
             case Result(error=error):
-                return self._no_owner(str(error))
+                return self._owner_unavailable(str(error))
 
-    def _finished(
+    def _finished_message(
         self, message_id: int, submission: Submission, outcome: Outcome
     ) -> Finished:
         grant = submission.grant
@@ -222,10 +239,10 @@
         seen = self.view.owner(range_id)
         return self.view.address(seen.row.owner) if seen else None
 
-    def _no_owner(self, detail: str) -> ClaimRefused:
+    def _owner_unavailable(self, detail: str) -> ClaimRefused:
         return ClaimRefused(0, Outcome.UNKNOWN, False, detail, 1)
 
-    def _message(self, message_id: int, request: ClaimRequest) -> Claim:
+    def _claim_message(self, message_id: int, request: ClaimRequest) -> Claim:
         epoch, made_ms = 0, 0
         match request.key:
             case HandedOutKey(epoch=epoch, made_ms=made_ms):
@@ -237,7 +254,7 @@
             submission=request.submission,
             range=request.range,
             digest=request.digest,
-            entry=self.me,
+            entry=self.entry_id,
             key_epoch=epoch,
             made_ms=made_ms,
             write_ahead=request.write_ahead,
--- a/bergamotcourse/coordination/claims.py
+++ b/bergamotcourse/coordination/claims.py
@@ -1,15 +1,16 @@
-"""The owner's side of claims: who may start a submission.
+"""The owner's side of claims: deciding who may start a submission.
 
-Each claim is decided in one step without waiting, so that of two claims one is first.
-Only then, where the work is not idempotent, the journal is written before the answer.
+Each claim is decided in one step without an await, so that concurrent claims are
+ordered. For work that is not idempotent the decision is then journaled before the
+reply is sent.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from bergamotcourse.coordination.journal import Journal
-from bergamotcourse.coordination.key_doubts import KeyDoubts
-from bergamotcourse.coordination.lease_view import DRIFT_SHARE
+from bergamotcourse.coordination.key_checks import KeyChecker
+from bergamotcourse.coordination.lease_view import MAX_CLOCK_DRIFT_RATIO
 from bergamotcourse.coordination.ownership import OwnedRange, Ownership, RangeState
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import Attempt, EntryId, Epoch, LinkAddress, RangeId
@@ -26,18 +27,18 @@
 RETRY_AFTER_MS = 1000
 
 EPOCH_SHIFT = 20
-"""An attempt is numbered above its epoch's multiple of two to this power: an attempt
-that a former owner granted, and that left no trace here, has another number."""
+"""Attempt numbers carry the epoch in the bits above this one, so that they never equal
+the number of an attempt that a former owner granted and that is not recorded here."""
 
-RUNS = -1
-"""Told in place of a time: the claimant is known to run the attempt."""
+SETTLED_MS_WHILE_RUNNING = -1
+"""Reported as ``settled_ms`` while the claimant is known to run the attempt."""
 
 ClaimReply = Granted | Joined | ClaimRefused
 
 
 @dataclass
 class ClaimCounters:
-    """What an owner counts."""
+    """Counts of an owner's replies to claims."""
 
     granted: int = 0
     joined: int = 0
@@ -46,12 +47,12 @@
 
 
 class ClaimService:
-    """Decides the claims on the ranges of this entry.
+    """Decides claims on the ranges that this entry owns.
 
     Attributes:
-        token_ms: The life of an agent's token: so long after a grant has ended no
-            start under it can be admitted any more.
-        runs_here: Whether a submission runs at this entry.
+        token_ms: Lifetime of an agent's token, in milliseconds. Once a grant expired
+            this long ago, no start under it can be admitted any more.
+        runs_here: Returns whether a submission is running at this entry.
     """
 
     def __init__(
@@ -68,49 +69,49 @@
         self.ledger = ledger
         self.journal = journal
         self.timers = timers
-        self.token_ms = int(token_seconds * 1000 * (1 + DRIFT_SHARE))
+        self.token_ms = int(token_seconds * 1000 * (1 + MAX_CLOCK_DRIFT_RATIO))
         self.runs_here = runs_here
         skew_ms = int(skew_seconds * 1000)
-        self.doubts = KeyDoubts(ownership, timers, ledger.keep_ms, skew_ms)
+        self.key_checker = KeyChecker(ownership, timers, ledger.keep_ms, skew_ms)
         self.counters = ClaimCounters()
         self.grants = ownership.rng.getrandbits(62)
 
-    async def answer(self, sender: LinkAddress, claim: Claim) -> ClaimReply:
-        """Decide a claim and journal it, before the answer where it asks for that."""
-        reply = self.decide(sender, claim)
+    async def handle_claim(self, sender: LinkAddress, claim: Claim) -> ClaimReply:
+        """Decide a claim; for write-ahead claims, journal a grant before replying."""
+        reply = self.decide_claim(sender, claim)
         if claim.write_ahead and isinstance(reply, Granted):
             await self.journal.write_now(claim.submission)
-            owned = self.ownership.holds(RangeId(claim.range), self.timers.now())
+            owned = self.ownership.held_range(RangeId(claim.range), self.timers.now())
             if owned is None or owned.epoch != reply.epoch:
-                return self._not_owner(claim)
+                return self._refuse_not_owner(claim)
         return reply
 
-    def decide(self, sender: LinkAddress, claim: Claim) -> ClaimReply:
-        """Decide a claim; the decision holds from here on."""
+    def decide_claim(self, sender: LinkAddress, claim: Claim) -> ClaimReply:
+        """Decide a claim; the decision takes effect immediately."""
         now = self.timers.now()
-        owned = self.ownership.holds(RangeId(claim.range), now)
+        owned = self.ownership.held_range(RangeId(claim.range), now)
         if owned is None or owned.state is not RangeState.READY or not self._valid_ms():
-            return self._not_owner(claim)
+            return self._refuse_not_owner(claim)
         record = self.ledger.get(claim.submission)
         if claim.lookup:
             return self._look_up(claim, record)
         if record is not None:
-            return self._known(sender, claim, owned, record)
-        return self._new(sender, claim, owned)
+            return self._decide_known_key(sender, claim, owned, record)
+        return self._decide_new_key(sender, claim, owned)
 
-    def finished(self, message: Finished) -> bool:
-        """Note the final outcome of a submission.
+    def record_outcome(self, message: Finished) -> bool:
+        """Record the final outcome of a submission.
 
         Returns:
-            Whether the claimant held the claim until now for certain, so that no
-            other can have run it.
+            Whether the claimant certainly held the claim until now, so that no other
+            claimant can have run the submission.
         """
         record = self.ledger.get(message.submission)
         if record is None or record.attempt != message.attempt:
             return False
         now_ms = self.timers.now_ms()
-        own = record.entry == self.ownership.me
-        # Nothing leaves the claimant any more.
+        own = record.entry == self.ownership.entry_id
+        # The claimant sends no more starts of this attempt.
         record.granted_until_ms = (
             now_ms if own else min(record.granted_until_ms, now_ms)
         )
@@ -118,16 +119,16 @@
         record.restored = False
         record.at_ms = now_ms
         self.ledger.records.move_to_end(message.submission)
-        self.journal.note(message.submission)
-        return self._is_certain_owner(RangeId(message.range))
+        self.journal.enqueue(message.submission)
+        return self._is_confirmed_owner(RangeId(message.range))
 
-    def _is_certain_owner(self, range_id: RangeId) -> bool:
+    def _is_confirmed_owner(self, range_id: RangeId) -> bool:
         now = self.timers.now()
-        owned = self.ownership.holds(range_id, now)
+        owned = self.ownership.held_range(range_id, now)
         ready = owned is not None and owned.state is RangeState.READY
-        return ready and self.ownership.lease.unquestioned(now)
+        return ready and self.ownership.lease.is_confirmed(now)
 
-    def _known(
+    def _decide_known_key(
         self,
         sender: LinkAddress,
         claim: Claim,
@@ -136,31 +137,31 @@
     ) -> ClaimReply:
         if record.digest and record.digest != claim.digest:
             detail = "the key was used with another request"
-            return self._refused(claim, Outcome.NOT_RUN, detail, conflict=True)
+            return self._refuse(claim, Outcome.NOT_RUN, detail, conflict=True)
         if self._is_same_run(sender, claim, record):
-            return self._grant(claim, owned, record)
-        if self._may_run_anew(claim, owned, record):
+            return self._grant_record(claim, owned, record)
+        if self._may_grant_new_attempt(claim, owned, record):
             attempt = max(record.attempt + 1, first_attempt(owned.epoch))
-            return self._record(sender, claim, owned, Attempt(attempt))
+            return self._create_record(sender, claim, owned, Attempt(attempt))
         self.counters.joined += 1
-        return self._joined(claim, record)
+        return self._joined_reply(claim, record)
 
     def _is_same_run(
         self, sender: LinkAddress, claim: Claim, record: LedgerRecord
     ) -> bool:
-        """Return whether the claimant asks again, or for more time."""
+        """Return whether a claim is a retry or a renewal by the run that holds it."""
         if record.outcome is not None or record.address != sender:
             return False
-        again = bool(claim.run) and claim.run == record.run
-        return again or claim.held_attempt == record.attempt
+        is_retry = bool(claim.run) and claim.run == record.run
+        return is_retry or claim.held_attempt == record.attempt
 
-    def _may_run_anew(
+    def _may_grant_new_attempt(
         self, claim: Claim, owned: OwnedRange, record: LedgerRecord
     ) -> bool:
-        """Return whether it is proved that no task of the submission ever started."""
+        """Return whether it is proved that no task of the submission was started."""
         if record.outcome is Outcome.NOT_RUN:
             # The journal may lack a later attempt that was started.
-            return not (record.restored and self.doubts.is_suspect(owned))
+            return not (record.restored and self.key_checker.may_miss_grants(owned))
         proved = (
             claim.proved_attempt == record.attempt
             and claim.proved_grant == record.grant
@@ -169,18 +170,21 @@
         return proved and record.outcome in (None, Outcome.UNKNOWN)
 
     def _settled_ms(self, submission: bytes, record: LedgerRecord) -> int:
-        """Return after how long no start of the attempt can be admitted any more."""
-        if record.entry == self.ownership.me and self.runs_here(submission):
-            return RUNS
+        """Return the milliseconds until no start of the attempt can be admitted.
+
+        Returns ``SETTLED_MS_WHILE_RUNNING`` if the submission is running at this entry.
+        """
+        if record.entry == self.ownership.entry_id and self.runs_here(submission):
+            return SETTLED_MS_WHILE_RUNNING
         settled_at = record.granted_until_ms + self.token_ms
         return max(0, settled_at - self.timers.now_ms())
 
     def _look_up(self, claim: Claim, record: LedgerRecord | None) -> ClaimReply:
         if record is None:
-            return self._refused(claim, Outcome.UNKNOWN, "no such submission is known")
-        return self._joined(claim, record)
+            return self._refuse(claim, Outcome.UNKNOWN, "no such submission is known")
+        return self._joined_reply(claim, record)
 
-    def _joined(self, claim: Claim, record: LedgerRecord) -> Joined:
+    def _joined_reply(self, claim: Claim, record: LedgerRecord) -> Joined:
         return Joined(
             claim.id,
             record.entry,
@@ -191,17 +195,19 @@
             settled_ms=self._settled_ms(claim.submission, record),
         )
 
-    def _new(self, sender: LinkAddress, claim: Claim, owned: OwnedRange) -> ClaimReply:
-        detail = self.doubts.doubt(claim, owned)
+    def _decide_new_key(
+        self, sender: LinkAddress, claim: Claim, owned: OwnedRange
+    ) -> ClaimReply:
+        detail = self.key_checker.rejection_reason(claim, owned)
         if detail:
             self.counters.unknown += 1
-            return self._refused(claim, Outcome.UNKNOWN, detail)
+            return self._refuse(claim, Outcome.UNKNOWN, detail)
         if self.ledger.is_full(self.timers.now_ms()):
-            detail = "too many submissions are remembered"
-            return self._refused(claim, Outcome.NOT_RUN, detail, again=True)
-        return self._record(sender, claim, owned, first_attempt(owned.epoch))
+            detail = "too many submissions are stored"
+            return self._refuse(claim, Outcome.NOT_RUN, detail, retry=True)
+        return self._create_record(sender, claim, owned, first_attempt(owned.epoch))
 
-    def _record(
+    def _create_record(
         self,
         sender: LinkAddress,
         claim: Claim,
@@ -220,10 +226,12 @@
             run=claim.run,
         )
         self.ledger.put(claim.submission, record)
-        self.journal.note(claim.submission)
-        return self._grant(claim, owned, record)
+        self.journal.enqueue(claim.submission)
+        return self._grant_record(claim, owned, record)
 
-    def _grant(self, claim: Claim, owned: OwnedRange, record: LedgerRecord) -> Granted:
+    def _grant_record(
+        self, claim: Claim, owned: OwnedRange, record: LedgerRecord
+    ) -> Granted:
         self.counters.granted += 1
         self.grants += 1
         valid_ms = self._valid_ms()
@@ -237,24 +245,24 @@
         left = self.ownership.lease.valid_until() - self.timers.now()
         return max(0, int(left * 1000))
 
-    def _not_owner(self, claim: Claim) -> ClaimRefused:
-        # Not "not run": another owner may have granted the key.
+    def _refuse_not_owner(self, claim: Claim) -> ClaimRefused:
+        # The outcome cannot be "not run": another owner may have granted the key.
         detail = "this entry does not own the key's range now"
-        return self._refused(claim, Outcome.UNKNOWN, detail, again=True)
+        return self._refuse(claim, Outcome.UNKNOWN, detail, retry=True)
 
-    def _refused(
+    def _refuse(
         self,
         claim: Claim,
         outcome: Outcome,
         detail: str,
         conflict: bool = False,
-        again: bool = False,
+        retry: bool = False,
     ) -> ClaimRefused:
         self.counters.refused += 1
-        retry_ms = RETRY_AFTER_MS if again else 0
+        retry_ms = RETRY_AFTER_MS if retry else 0
         return ClaimRefused(claim.id, outcome, conflict, detail, retry_ms)
 
 
 def first_attempt(epoch: Epoch) -> Attempt:
-    """Return the number of the first attempt that is granted under an epoch."""
+    """Return the number of the first attempt granted under an epoch."""
     return Attempt((epoch << EPOCH_SHIFT) | 1)
--- a/bergamotcourse/coordination/entry.py
+++ b/bergamotcourse/coordination/entry.py
@@ -19,14 +19,14 @@
 from bergamotcourse.coordination.journal import Journal
 from bergamotcourse.coordination.lease import Lease, LeaseState
 from bergamotcourse.coordination.lease_view import LeaseView
-from bergamotcourse.coordination.membership import AgentFinder
-from bergamotcourse.coordination.neighbours import Located
+from bergamotcourse.coordination.membership import AgentDiscovery
+from bergamotcourse.coordination.neighbours import ProcessLocation
 from bergamotcourse.coordination.ownership import Ownership
 from bergamotcourse.coordination.range_recovery import RangeRecovery
-from bergamotcourse.coordination.remains import Remains
 from bergamotcourse.coordination.routing import Router, RoutingPolicy
 from bergamotcourse.coordination.submissions import Submissions
 from bergamotcourse.coordination.takeover import Takeover
+from bergamotcourse.coordination.takeover_cleanup import TakeoverCleanup
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.coordination.tracing import EntryTracer
 from bergamotcourse.ids import ConfigVersion, EntryId, LinkAddress, ZoneName
@@ -150,7 +150,7 @@
             self.router,
             lambda _: False,
             lambda _: None,
-            lambda: len(self.view.living()),
+            lambda: len(self.view.living_rows()),
         )
         self.claimant = Claimant(
             self.claims,
@@ -169,8 +169,8 @@
             mailer,
             timers,
         )
-        self.finder = AgentFinder(
-            Located(self.id, options.zone),
+        self.agent_discovery = AgentDiscovery(
+            ProcessLocation(self.id, options.zone),
             self._entries,
             self._queued,
             self.directory,
@@ -211,14 +211,14 @@
         return (
             not self.stopping
             and self.config.ready
-            and self.finder.found
+            and self.agent_discovery.agents_listed
             and self.ownership.ready()
         )
 
     def key_prefix(self) -> str:
         """Return a prefix for keys that need no message, or nothing."""
         now = self.timers.now()
-        owned = self.ownership.holds(self.ownership.home, now)
+        owned = self.ownership.held_range(self.ownership.home, now)
         if owned is None or self.stopping:
             return ""
         return key_prefix(self.ownership.home, owned.epoch, self.timers.now_ms())
@@ -237,7 +237,7 @@
             case Claim():
                 self._take_claim(sender, message)
             case Finished():
-                held = self.claims.finished(message)
+                held = self.claims.record_outcome(message)
                 if message.id:
                     self.mailer.post(sender, FinishedReply(message.id, held))
             case AskAnswer():
@@ -258,7 +258,7 @@
         with trio.move_on_after(self.options.lease_seconds):
             await self.journal.flush()
             await self.lease.release()
-        self.finder.detach_all()
+        self.agent_discovery.detach_all()
 
     def _join_as(self, entry: EntryId) -> None:
         """Make the parts that belong to one lease."""
@@ -276,7 +276,7 @@
             self.lease, self.view, self.platform, self.timers, self.rng, self.wall_ms
         )
         self.journal = Journal(entry, self.ledger, self.platform, self.timers)
-        self.lease.journaled_ms = lambda: self.journal.complete_ms
+        self.lease.journaled_ms = lambda: self.journal.journaled_through_ms
         self.lease.wall_ms = self.wall_ms
         self.lease.demand = lambda: self.dispatcher.quotas.told()
         self.ownership.on_dropped = self.ledger.drop_ranges
@@ -310,7 +310,7 @@
             self.platform,
             self.timers,
         )
-        self.remains = Remains(
+        self.takeover_cleanup = TakeoverCleanup(
             self.view,
             self.ownership,
             self.range_recovery,
@@ -321,7 +321,7 @@
         )
 
     async def _list_agents(self) -> bool:
-        return await self.finder.watch()
+        return await self.agent_discovery.watch()
 
     def _take_manifest(self, version: ConfigVersion, manifest: Manifest) -> None:
         self.closer.take_manifest(version, manifest)
@@ -331,17 +331,17 @@
     def _peer_versions(self) -> dict[LinkAddress, ConfigVersion]:
         """Return the other entries, also those that a long outage hides."""
         versions: dict[LinkAddress, ConfigVersion] = {}
-        for row in self.view.present():
+        for row in self.view.unreleased_rows():
             address = LinkAddress(row.address)
             if address != self.mailer.link.address:
                 known = versions.get(address, NO_VERSION)
                 versions[address] = max(ConfigVersion(row.config), known)
         return versions
 
-    def _entries(self) -> list[Located]:
-        rows = [row for row in self.view.present() if row.entry != self.id]
-        others = [Located(row.entry, row.zone) for row in rows]
-        return [Located(self.id, self.options.zone), *others]
+    def _entries(self) -> list[ProcessLocation]:
+        rows = [row for row in self.view.unreleased_rows() if row.entry != self.id]
+        others = [ProcessLocation(row.entry, row.zone) for row in rows]
+        return [ProcessLocation(self.id, self.options.zone), *others]
 
     def _queued(self) -> dict[str, int]:
         queues = self.dispatcher.queues
@@ -353,16 +353,20 @@
         self.timers.every(beat, "lease renewal", self._renew_lease)
         self.timers.every(beat, "range watch", self._watch_ranges)
         watch = AGENT_WATCH_PERIODS * beat
-        self.timers.every(watch, "agent watch", self.finder.watch)
+        self.timers.every(watch, "agent watch", self.agent_discovery.watch)
         self.timers.every(beat, "neighbours", self._tend_neighbours)
-        self.timers.every(ADJUST_SECONDS, "neighbour bound", self.finder.adjust)
+        self.timers.every(
+            ADJUST_SECONDS,
+            "neighbour bound",
+            self.agent_discovery.adjust_attachment_limit,
+        )
         self.timers.every(POLL_SECONDS, "configuration poll", self.config.poll)
 
     async def _start(self) -> None:
         """Do at once what else waits for the first period."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.config.poll)
-            nursery.start_soon(self.finder.watch)
+            nursery.start_soon(self.agent_discovery.watch)
             nursery.start_soon(self._renew_lease)
         await self._watch_ranges()
 
@@ -379,33 +383,33 @@
         self._join_as(EntryId(f"{self.options.name}-{self.rng.getrandbits(32):08x}"))
         self.claimant.service = self.claims
         self.claimant.ownership = self.ownership
-        self.finder.entry = self.id
+        self.agent_discovery.entry = self.id
 
     async def _watch_ranges(self) -> None:
         async with self.range_watch:
             await self.ownership.watch()
             self._hear_demand()
             await self.takeover.watch()
-            await self.remains.watch()
+            await self.takeover_cleanup.watch()
 
     def _hear_demand(self) -> None:
         """Take the teams' demand at the other entries, as the platform told last."""
-        age = self.timers.now() - self.view.last_asked
+        age = self.timers.now() - self.view.current_as_of
         if age < 2 * self.options.heartbeat_seconds:
-            rows = [row for row in self.view.living() if row.entry != self.id]
+            rows = [row for row in self.view.living_rows() if row.entry != self.id]
             self.dispatcher.quotas.hear([row.demand for row in rows])
 
     def _take_claim(self, sender: LinkAddress, claim: Claim) -> None:
         if claim.write_ahead:
             self.nursery.start_soon(self._answer_claim, sender, claim)
             return
-        self.mailer.post(sender, self.claims.decide(sender, claim))
+        self.mailer.post(sender, self.claims.decide_claim(sender, claim))
 
     async def _answer_claim(self, sender: LinkAddress, claim: Claim) -> None:
-        self.mailer.post(sender, await self.claims.answer(sender, claim))
+        self.mailer.post(sender, await self.claims.handle_claim(sender, claim))
 
     async def _tend_neighbours(self) -> None:
-        await self.finder.tend()
+        await self.agent_discovery.update_attachments()
         self.closer.check_all()
 
     def _take_state(self, sender: LinkAddress, state: AgentState) -> None:
@@ -430,14 +434,14 @@
         if load is not None:
             now = self.timers.now()
             if not self.directory.report_load(sender, load, now):
-                self.finder.greet(sender)
+                self.agent_discovery.request_full_state(sender)
         self.dispatcher.take_result(result)
 
     def _take_load(self, sender: LinkAddress, load: AgentLoad) -> None:
         if self.directory.report_load(sender, load, self.timers.now()):
             self._note_report(self.directory.by_address[sender])
         else:
-            self.finder.greet(sender)
+            self.agent_discovery.request_full_state(sender)
 
     def _note_report(self, view: AgentView) -> None:
         if view.leaving and not view.busy():
--- a/bergamotcourse/coordination/epoch_reader.py
+++ b/bergamotcourse/coordination/epoch_reader.py
@@ -1,8 +1,9 @@
-"""What an agent must know before it admits starts: the epochs of all ranges.
+"""Loading the epochs of all ranges, which an agent needs before it admits starts.
 
-An agent that took over a worker from an earlier process does not know which epochs that
-one had been told to refuse. The platform does. The agent reads them after its own row
-is written: whoever raises an epoch later finds the row, and tells the agent.
+An agent that replaced an earlier process at the same worker does not know which epochs
+that process was ordered to refuse, but the platform's table has them. The agent reads
+them after its own row has been written: an entry that raises an epoch later finds the
+row and sends the agent a ``Fence``.
 """
 
 import msgspec
@@ -13,7 +14,7 @@
 
 
 async def read_epochs(platform: Platform, start_log: StartLog) -> None:
-    """Read the epochs, and open the start log if the platform answered."""
+    """Read the epochs and open the start log if the platform answered."""
     changes = await platform.read_since(RANGE_PREFIX, 0)
     if changes.is_error():
         return
--- a/bergamotcourse/coordination/in_force.py
+++ b/bergamotcourse/coordination/in_force.py
@@ -46,7 +46,7 @@
     known = entry.exchange.known()
     versions = {
         row.entry: known.get(LinkAddress(row.address), ConfigVersion(row.config))
-        for row in entry.view.present()
+        for row in entry.view.unreleased_rows()
     }
     versions[entry.id] = version
     return _report(version, versions)
--- a/bergamotcourse/coordination/journal.py
+++ b/bergamotcourse/coordination/journal.py
@@ -1,8 +1,8 @@
-"""The owner's journal of claims, in the platform's table.
+"""The owner's journal of claims, stored in the platform's table.
 
-Claims are written in batches, one row for each flush: behind the start for idempotent
-work, before it for the rest. While the platform is away the claims wait, and are
-written once it is back.
+Claims are written in batches, one row per flush: asynchronously after the start for
+idempotent work, and before it for other work. While the platform is unavailable the
+claims are kept pending and are written once it is available again.
 """
 
 import logging
@@ -26,19 +26,22 @@
 
 logger = logging.getLogger(__name__)
 
-FLUSH_SECONDS = 0.5
-MOST_IN_ROW = 2000
-MOST_DELETED_AT_ONCE = 50
+FLUSH_INTERVAL_SECONDS = 0.5
+MAX_RECORDS_PER_ROW = 2000
+MAX_DELETIONS_PER_TRANSACTION = 50
 
 
 class Journal:
-    """One owner's journal.
+    """The journal of one owner.
 
     Attributes:
-        waiting: Submissions whose records were not written yet.
-        complete_ms: All claims made up to then, on this process's clock, are written.
-        store_answers: Whether the last write succeeded.
-        write_ahead_seconds: Longest wait of a grant for its write.
+        pending: Submissions whose records have not been written yet.
+        being_written: Submissions whose records are part of the current write.
+        journaled_through_ms: All claims made up to this time on this process's clock
+            have been written.
+        platform_available: Whether the last write succeeded.
+        write_ahead_seconds: Longest time for which a grant waits for its write.
+        written_rows: Number and write time, in seconds, of each row, oldest first.
     """
 
     def __init__(
@@ -54,101 +57,101 @@
         self.platform = platform
         self.timers = timers
         self.write_ahead_seconds = write_ahead_seconds
-        self.waiting: dict[bytes, None] = {}
-        self.in_write: set[bytes] = set()
-        self.number = 0
-        self.written: deque[tuple[int, float]] = deque()
+        self.pending: dict[bytes, None] = {}
+        self.being_written: set[bytes] = set()
+        self.next_row_number = 0
+        self.written_rows: deque[tuple[int, float]] = deque()
         self.lock = trio.Lock()
-        self.store_answers = True
-        self.complete_ms = timers.now_ms()
+        self.platform_available = True
+        self.journaled_through_ms = timers.now_ms()
         self.writes = 0
-        self.flushes = timers.every(FLUSH_SECONDS, "journal flush", self.flush)
+        self.flushes = timers.every(FLUSH_INTERVAL_SECONDS, "journal flush", self.flush)
 
     def close(self) -> None:
-        """Write no more: another entry owns the ranges."""
+        """Stop writing, because another entry owns the ranges."""
         self.flushes.active = False
-        self.waiting.clear()
+        self.pending.clear()
 
-    def note(self, submission: bytes) -> None:
-        """Write the submission's record with the next flush."""
-        self.waiting[submission] = None
+    def enqueue(self, submission: bytes) -> None:
+        """Schedule the submission's record for the next flush."""
+        self.pending[submission] = None
 
     async def write_now(self, submission: bytes) -> bool:
-        """Write the record before returning; return whether it was written.
+        """Write the record and return whether it was written.
 
-        While the platform is away this returns false at once, as the last flush
-        failed; else it waits for the write, up to ``write_ahead_seconds``.
+        Waits for the write for up to ``write_ahead_seconds``. If the last flush failed
+        because the platform is unavailable, returns false immediately.
         """
-        self.note(submission)
-        if not self.store_answers:
+        self.enqueue(submission)
+        if not self.platform_available:
             return False
         with trio.move_on_after(self.write_ahead_seconds):
-            while self._is_unwritten(submission) and self.store_answers:
+            while self._is_unwritten(submission) and self.platform_available:
                 async with self.lock:
-                    # Who had the lock before may have written this record too.
-                    if submission in self.waiting:
-                        await self._write_due()
+                    # The previous holder of the lock may have written this record too.
+                    if submission in self.pending:
+                        await self._write_pending()
         return not self._is_unwritten(submission)
 
     async def flush(self) -> None:
-        """Write the records that wait now, one batch at a time.
+        """Write the records that are pending now, one batch at a time.
 
-        What comes meanwhile waits for the next flush: under load there is always
-        more, and a flush that went on would write without a pause.
+        Records added meanwhile are left for the next flush: under load there are always
+        more, and a flush that included them would write without a pause.
         """
         async with self.lock:
-            await self._write_due()
+            await self._write_pending()
 
-    async def _write_due(self) -> None:
-        began_ms = self.timers.now_ms()
-        due = len(self.waiting)
-        while due > 0 and self.waiting:
-            if not await self._write_batch(min(due, MOST_IN_ROW)):
+    async def _write_pending(self) -> None:
+        started_ms = self.timers.now_ms()
+        due = len(self.pending)
+        while due > 0 and self.pending:
+            if not await self._write_batch(min(due, MAX_RECORDS_PER_ROW)):
                 return
-            due -= MOST_IN_ROW
-        self.complete_ms = began_ms
+            due -= MAX_RECORDS_PER_ROW
+        self.journaled_through_ms = started_ms
 
     async def read(self, entry: str) -> Result[list[JournalRecord], object]:
-        """Return all records that an owner has journaled, oldest first."""
+        """Return all records journaled by an owner, oldest first."""
         changes = await self.platform.read_since(journal_prefix(entry), 0)
         return changes.map(_records)
 
     def _is_unwritten(self, submission: bytes) -> bool:
-        return submission in self.waiting or submission in self.in_write
+        return submission in self.pending or submission in self.being_written
 
     async def _write_batch(self, size: int) -> bool:
-        batch = list(islice(self.waiting, size))
-        # Taken out first: a change during the write waits for the next.
+        batch = list(islice(self.pending, size))
+        # Removed first, so that a change during the write is left for the next one.
         for submission in batch:
-            del self.waiting[submission]
-        self.in_write = set(batch)
+            del self.pending[submission]
+        self.being_written = set(batch)
         written = False
         try:
             written = await self._write(batch)
         finally:
-            # Also where those who wait for the write have lost their patience.
-            self.in_write = set()
+            # Also reached when the write is cancelled by the time-out of its caller.
+            self.being_written = set()
             if not written and self.flushes.active:
-                self.waiting.update(dict.fromkeys(batch))
+                self.pending.update(dict.fromkeys(batch))
         return written
 
     async def _write(self, batch: list[bytes]) -> bool:
         records = [self._record(submission) for submission in batch]
         row = JournalRow([record for record in records if record is not None])
         content = msgspec.msgpack.encode(row)
-        key = journal_key(self.entry, self.number)
-        began = self.timers.now()
-        deletions = self._deletions(began)
-        # Also after an error the row may be there: its number is not used again.
-        self.written.append((self.number, began))
-        self.number += 1
+        key = journal_key(self.entry, self.next_row_number)
+        started_at = self.timers.now()
+        deletions = self._deletions(started_at)
+        # The row may exist even after an error, so its number is not reused.
+        self.written_rows.append((self.next_row_number, started_at))
+        self.next_row_number += 1
         self.writes += 1
         result = await self.platform.transact([Write(key, content, ABSENT), *deletions])
-        self.store_answers = result.is_ok()
+        self.platform_available = result.is_ok()
         match result:
             case Result(tag="ok", ok=Committed()):
                 for _ in deletions:
-                    self.written.popleft()
+                    self.written_rows.popleft()
                 return True
             case _:
                 return False
@@ -159,16 +162,16 @@
 
     def _deletions(self, now: float) -> list[Write]:
         keep = 2 * self.ledger.keep_ms / 1000
-        # The oldest come first: a look at all of them would grow with what is kept.
-        old = takewhile(lambda row: now - row[1] > keep, self.written)
+        # The oldest are first, so the scan stops early instead of visiting every row.
+        old = takewhile(lambda row: now - row[1] > keep, self.written_rows)
         return [
             Write(journal_key(self.entry, number), None, None)
-            for number, _ in islice(old, MOST_DELETED_AT_ONCE)
+            for number, _ in islice(old, MAX_DELETIONS_PER_TRANSACTION)
         ]
 
 
 def journal_record(submission: bytes, record: LedgerRecord) -> JournalRecord:
-    """Return a ledger record as the journal keeps it."""
+    """Return a ledger record in the form in which it is journaled."""
     return JournalRecord(
         submission=submission,
         range=record.range,
--- a/bergamotcourse/coordination/lease.py
+++ b/bergamotcourse/coordination/lease.py
@@ -1,10 +1,10 @@
-"""An entry's lease on its ranges, kept through the platform's table.
+"""An entry's lease on its ranges, stored in the platform's table.
 
-The lease lives as long as its row keeps changing. The row names one successor, the
-only entry that may take over. While the platform is away the lease goes on as long as
-that successor promises not to take over; without the promise it ends at its time.
-Each side measures on its own monotonic clock; clocks may differ in rate by a bounded
-share only.
+The lease is valid as long as its row is renewed. The row names one successor, the only
+entry that may take over. While the platform is unavailable the lease is extended as
+long as the successor promises not to take over; without a promise it expires. Each side
+measures time on its own monotonic clock; the rates of two clocks differ by a bounded
+ratio.
 """
 
 import logging
@@ -14,7 +14,7 @@
 import msgspec
 from expression import Result
 
-from bergamotcourse.coordination.lease_view import DRIFT_SHARE
+from bergamotcourse.coordination.lease_view import MAX_CLOCK_DRIFT_RATIO
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import EntryId, LinkAddress, ZoneName
 from bergamotcourse.protocol.mailer import Mailer
@@ -31,22 +31,23 @@
 
 logger = logging.getLogger(__name__)
 
-AUTONOMY_SECONDS = 3600.0
-"""Without the platform for longer, promises no longer extend a lease."""
+MAX_AUTONOMY_SECONDS = 3600.0
+"""Promises extend a lease for at most this long after the last platform contact."""
 
 PROMISE_TIMEOUT_SECONDS = 0.5
 
-UNQUESTIONED_LEASES = 2.0
-"""Without the platform for more leases than this, the entry can't know whether it was
-taken over as an orphan; no agent would admit its starts then."""
+CONFIRMED_LEASE_PERIODS = 2.0
+"""Lease periods after the last platform contact for which a valid lease counts as
+confirmed. Later the entry may have been taken over as an orphan without knowing it; in
+that case no agent would admit its starts."""
 
 
 class LeaseState(Enum):
-    """What became of a lease.
+    """State of a lease.
 
     Attributes:
-        JOINING: The row was not written yet.
-        HELD: The row was written; ``Lease.valid`` says whether it holds now.
+        JOINING: The row has not been written yet.
+        HELD: The row has been written; ``Lease.valid`` returns whether it is in force.
         LOST: Another entry has taken over.
     """
 
@@ -56,14 +57,22 @@
 
 
 class Lease:
-    """One entry's lease.
+    """The lease of one entry; times are in seconds on this process's clock.
 
     Attributes:
+        seconds: Duration of the lease.
         version: Version of the row as last known.
-        store_until: Seconds; how long the platform's last answer lets it hold.
-        promise_until: Seconds; how long the successor's promise lets it hold.
-        ended: The entry stops as planned.
-        possible_successors: Named in a write whose outcome is unknown, or in force.
+        platform_valid_until: End of the validity granted by the last renewal.
+        promise_valid_until: End of the validity granted by the successor's promise.
+        last_platform_contact: When the last successful request to the platform began.
+        ended: The lease was ended by a planned stop.
+        possible_successors: The successor in force, and successors named in writes
+            whose outcome is unknown.
+        preferred_successor: Returns the entry to name as successor.
+        address_of: Returns the link address of an entry, if known.
+        journaled_ms: Returns the time up to which all claims are journaled.
+        wall_ms: Returns the wall-clock time in milliseconds.
+        demand: Returns the demand to publish in the row.
     """
 
     def __init__(
@@ -87,70 +96,75 @@
         self.renewals = 0
         self.successor = ""
         self.possible_successors: set[str] = set()
-        self.store_until = 0.0
-        self.promise_until = 0.0
-        self.last_contact = 0.0
-        self.wanted_successor: Callable[[], str] = lambda: ""
+        self.platform_valid_until = 0.0
+        self.promise_valid_until = 0.0
+        self.last_platform_contact = 0.0
+        self.preferred_successor: Callable[[], str] = lambda: ""
         self.address_of: Callable[[str], LinkAddress | None] = lambda _entry: None
         self.journaled_ms: Callable[[], int] = lambda: 0
         self.wall_ms: Callable[[], int] = lambda: 0
         self.demand: Callable[[], dict[str, int]] = dict
 
     @property
-    def held_seconds(self) -> float:
-        """How long the holder counts on one renewal."""
-        return self.seconds * (1 - DRIFT_SHARE)
+    def holder_lease_seconds(self) -> float:
+        """Return the seconds for which the holder relies on one renewal."""
+        return self.seconds * (1 - MAX_CLOCK_DRIFT_RATIO)
 
     def valid(self, now: float) -> bool:
-        """Return whether the lease holds now."""
+        """Return whether the lease is in force."""
         return now < self.valid_until()
 
-    def unquestioned(self, now: float) -> bool:
-        """Return whether no one can have taken over, by a recent word of the platform.
+    def is_confirmed(self, now: float) -> bool:
+        """Return whether a recent platform contact rules out a takeover.
 
-        A lease that lives on promises is valid, but not for ever unquestioned.
+        A lease that is extended by promises stays valid but is not confirmed any more
+        after ``CONFIRMED_LEASE_PERIODS``.
         """
-        recent = now - self.last_contact <= UNQUESTIONED_LEASES * self.seconds
+        recent = (
+            now - self.last_platform_contact <= CONFIRMED_LEASE_PERIODS * self.seconds
+        )
         return recent and self.valid(now)
 
     def valid_until(self) -> float:
-        """Return until when the lease holds, in seconds on this process's clock."""
+        """Return when the lease expires, in seconds on this process's clock."""
         if self.state is not LeaseState.HELD or self.ended:
             return 0.0
-        promised = min(self.promise_until, self.last_contact + AUTONOMY_SECONDS)
-        return max(self.store_until, promised)
+        promised = min(
+            self.promise_valid_until, self.last_platform_contact + MAX_AUTONOMY_SECONDS
+        )
+        return max(self.platform_valid_until, promised)
 
     async def renew(self) -> None:
-        """Renew through the platform, or else through the successor's promise."""
+        """Renew through the platform or, if that fails, the successor's promise."""
         if self.state is LeaseState.LOST or self.ended:
             return
-        asked_at = self.timers.now()
-        successor = self.wanted_successor()
+        started_at = self.timers.now()
+        successor = self.preferred_successor()
         result = await self.platform.transact([self._write(successor)])
         match result:
             case Result(tag="ok", ok=Committed(version=version)):
-                self._renewed(asked_at, version, successor)
+                self._record_renewal(started_at, version, successor)
             case Result(tag="ok", ok=Conflict(rows=rows)):
-                self._conflicted(asked_at, rows[0])
+                self._handle_conflict(started_at, rows[0])
             case Result(error=error):
                 if error.took_effect is not False:
                     self.possible_successors.add(successor)
-                await self._seek_promises()
+                await self._request_promises()
 
     def end(self) -> None:
-        """Grant and promise nothing from now on, on a planned stop."""
+        """End the lease on a planned stop; nothing is granted or promised any more."""
         self.ended = True
 
     async def release(self) -> None:
-        """Tell that the lease has ended, so that the successor need not wait.
+        """Mark the lease as released, so that the successor need not wait for expiry.
 
-        Where another entry has taken over already, its mark stays.
+        If another entry has already taken over, its fencing mark is kept.
         """
         self.end()
         result = await self.platform.transact([self._write(self.successor, True)])
         match result:
-            case Result(tag="ok", ok=Conflict(rows=[row])) if _is_own(row):
-                # An earlier renewal took effect, though its answer was lost.
+            case Result(tag="ok", ok=Conflict(rows=[row])) if _is_unfenced(row):
+                # An earlier renewal took effect although its answer was lost.
                 self.version = row.version
                 await self.platform.transact([self._write(self.successor, True)])
             case _:
@@ -173,45 +187,45 @@
         content = msgspec.json.encode(row)
         return Write(lease_key(self.entry), content, self.version)
 
-    def _renewed(self, asked_at: float, version: int, successor: str) -> None:
+    def _record_renewal(self, started_at: float, version: int, successor: str) -> None:
         self.state = LeaseState.HELD
         self.version = version
         self.renewals += 1
         self.successor = successor
         self.possible_successors = {successor}
-        self.store_until = asked_at + self.held_seconds
-        self.last_contact = asked_at
+        self.platform_valid_until = started_at + self.holder_lease_seconds
+        self.last_platform_contact = started_at
 
-    def _conflicted(self, asked_at: float, row: Row) -> None:
-        """Tell a write of ours whose answer was lost from another entry's."""
-        if not _is_own(row):
+    def _handle_conflict(self, started_at: float, row: Row) -> None:
+        """Distinguish an own write whose answer was lost from another entry's write."""
+        if not _is_unfenced(row):
             self.state = LeaseState.LOST
             logger.warning("lease of %s was taken over", self.entry)
             return
         found = msgspec.json.decode(row.value, type=LeaseRow)
-        # The earlier write was not later than this call: it counts from nothing.
+        # The time of the earlier write is unknown, so it does not extend the validity.
         self.state = LeaseState.HELD
         self.version = row.version
         self.renewals = max(self.renewals, found.renewals)
         self.successor = found.successor
         self.possible_successors = {found.successor}
-        self.last_contact = asked_at
+        self.last_platform_contact = started_at
 
-    async def _seek_promises(self) -> None:
+    async def _request_promises(self) -> None:
         if self.state is not LeaseState.HELD:
             return
         until = None
         for successor in self.possible_successors or {self.successor}:
-            promised = await self._ask(successor)
+            promised = await self._request_promise(successor)
             until = promised if until is None else min(until, promised)
         if until:
-            self.promise_until = max(self.promise_until, until)
+            self.promise_valid_until = max(self.promise_valid_until, until)
 
-    async def _ask(self, successor: str) -> float:
+    async def _request_promise(self, successor: str) -> float:
         address = self.address_of(successor)
         if address is None:
             return 0.0
-        asked_at = self.timers.now()
+        requested_at = self.timers.now()
         reply = await self.mailer.request(
             address,
             lambda message_id: AskPromise(message_id, self.entry, self.version),
@@ -219,13 +233,13 @@
         )
         match reply:
             case Result(tag="ok", ok=Promise(promised_ms=promised_ms)) if promised_ms:
-                return asked_at + promised_ms / 1000 * (1 - DRIFT_SHARE)
+                return requested_at + promised_ms / 1000 * (1 - MAX_CLOCK_DRIFT_RATIO)
             case _:
                 return 0.0
 
 
-def _is_own(row: Row) -> bool:
-    """Return whether a lease row was written last by its entry itself."""
+def _is_unfenced(row: Row) -> bool:
+    """Return whether a lease row was last written by its own entry."""
     if row.value is None:
         return False
     return not msgspec.json.decode(row.value, type=LeaseRow).fenced_by
--- a/bergamotcourse/coordination/lease_view.py
+++ b/bergamotcourse/coordination/lease_view.py
@@ -1,4 +1,4 @@
-"""What an entry sees of all entries' leases and ranges in the platform's table."""
+"""An entry's copy of all lease and range rows in the platform's table."""
 
 import math
 from dataclasses import dataclass, replace
@@ -17,23 +17,24 @@
     range_of_key,
 )
 
-DRIFT_SHARE = 0.1
-"""Clocks of two processes may differ in rate by less than this share."""
+MAX_CLOCK_DRIFT_RATIO = 0.1
+"""Bound on the relative difference in rate between the clocks of two processes."""
 
 
 @dataclass
-class LeaseSeen:
-    """A lease row and since when it has not changed.
+class ObservedLease:
+    """A lease row and when it changed; times are in seconds on this process's clock.
 
     Attributes:
-        unchanged_since: Seconds on this process's clock, at the read that first
-            showed this version; moved on over each time without the platform.
-        written_after: Seconds; the last renewal took effect later than this. Minus
-            infinity for a row that this process has not seen change.
-        renewed_after: Seconds; the entry began its last renewal later than this. It
-            did so after the one before had taken effect, though maybe long before
-            the last took effect itself.
-        renewed_before: Seconds; the entry began its last renewal earlier than this.
+        unchanged_since: When this version was first read; moved forward over periods in
+            which the platform was unavailable.
+        written_after: Lower bound of the time at which the last renewal took effect.
+            Minus infinity for a row whose change this process has not observed.
+        renewed_after: Lower bound of the time at which the entry began its last
+            renewal. The entry began it after the previous renewal had taken effect, but
+            possibly long before the last one took effect itself.
+        renewed_before: Upper bound of the time at which the entry began its last
+            renewal.
     """
 
     row: LeaseRow
@@ -43,83 +44,89 @@
     renewed_after: float
     renewed_before: float
 
-    def time_of(self, clock_ms: int) -> float:
-        """Return when the entry's clock showed a time, or earlier than that.
+    def earliest_time_of(self, clock_ms: int) -> float:
+        """Return a lower bound of when the entry's clock showed a given time.
 
         Args:
-            clock_ms: Not later than the last renewal.
+            clock_ms: Time on the entry's clock, not later than the last renewal.
+
+        Returns:
+            Seconds on this process's clock.
         """
         age = (self.row.clock_ms - clock_ms) / 1000
-        return self.renewed_after - age * (1 + DRIFT_SHARE)
+        return self.renewed_after - age * (1 + MAX_CLOCK_DRIFT_RATIO)
 
 
 @dataclass
-class RangeSeen:
-    """A range's row."""
+class ObservedRange:
+    """A range's row and its version."""
 
     row: RangeRow
     version: int
 
 
 class LeaseView:
-    """A copy of the lease and range rows, kept up by reading what changed.
+    """A copy of the lease and range rows, updated by reading changed rows.
 
     Attributes:
-        leases: By entry.
-        ranges: By range.
-        last_read: Seconds; when the copy was last brought up to date.
-        last_asked: Seconds; the copy shows the platform at this time or later.
+        leases: Lease rows by entry.
+        ranges: Range rows by range.
+        last_refresh: When the copy was last updated, in seconds.
+        current_as_of: The copy shows the table as of this time or later, in seconds.
     """
 
     def __init__(self, platform: Platform, timers: Timers, lease_seconds: float):
         self.platform = platform
         self.timers = timers
         self.lease_seconds = lease_seconds
-        self.leases: dict[str, LeaseSeen] = {}
-        self.ranges: dict[int, RangeSeen] = {}
+        self.leases: dict[str, ObservedLease] = {}
+        self.ranges: dict[int, ObservedRange] = {}
         self.lease_version = 0
         self.range_version = 0
-        self.last_read: float | None = None
-        self.last_asked = -math.inf
+        self.last_refresh: float | None = None
+        self.current_as_of = -math.inf
 
     async def refresh(self) -> bool:
-        """Read what changed; return whether the platform answered."""
-        asked_at = self.timers.now()
+        """Read the changed rows and return whether the platform answered."""
+        requested_at = self.timers.now()
         leases = await self.platform.read_since(LEASE_PREFIX, self.lease_version)
         ranges = await self.platform.read_since(RANGE_PREFIX, self.range_version)
         if leases.is_error() or ranges.is_error():
             return False
         now = self.timers.now()
-        self._skip_silence(asked_at)
+        self._exclude_outage(requested_at)
         for row in leases.ok.rows:
-            self._take_lease(row, now)
-        self.last_asked = max(self.last_asked, asked_at)
+            self._apply_lease_row(row, now)
+        self.current_as_of = max(self.current_as_of, requested_at)
         for row in ranges.ok.rows:
-            self._take_range(row)
+            self._apply_range_row(row)
         self.lease_version = leases.ok.version
         self.range_version = ranges.ok.version
-        self.last_read = now
+        self.last_refresh = now
         return True
 
     async def refresh_range(self, range_id: int, key: str) -> None:
-        """Read one range's row."""
+        """Read the row of one range."""
         match await self.platform.get([key]):
             case Result(tag="ok", ok=[row]) if row.value:
-                self._take_range(row)
+                self._apply_range_row(row)
             case _:
                 pass
 
-    def owner(self, range_id: int) -> RangeSeen | None:
-        """Return a range's row, as last read."""
+    def owner(self, range_id: int) -> ObservedRange | None:
+        """Return a range's row, which names its owner, or ``None`` without a row."""
         return self.ranges.get(range_id)
 
     def address(self, entry: str) -> LinkAddress | None:
-        """Return where an entry receives, if its lease row is known."""
+        """Return an entry's link address if its lease row is known."""
         seen = self.leases.get(entry)
         return LinkAddress(seen.row.address) if seen else None
 
-    def heir(self, entry: str) -> str:
-        """Return who took over an entry, or who took over that one, and so on."""
+    def final_successor(self, entry: str) -> str:
+        """Return the last entry of the chain of takeovers that starts at ``entry``.
+
+        Returns ``entry`` itself if it was not taken over.
+        """
         followed = set()
         while entry not in followed:
             followed.add(entry)
@@ -129,45 +136,50 @@
             entry = seen.row.fenced_by
         return entry
 
-    def fenced_under(self, entry: str) -> list[str]:
-        """Return whom an entry took over, and whom those had, the earliest first."""
+    def transitively_fenced_by(self, entry: str) -> list[str]:
+        """Return the entries that an entry took over, directly or indirectly.
+
+        The earliest takeovers are first.
+        """
         direct = [e for e, s in self.leases.items() if s.row.fenced_by == entry]
-        return [one for e in direct for one in (*self.fenced_under(e), e)]
+        return [one for e in direct for one in (*self.transitively_fenced_by(e), e)]
 
-    def alive(self, entry: str) -> bool:
-        """Return whether an entry's lease row changed not long ago."""
-        # As of the last read: while the platform is away no row can change.
+    def is_alive(self, entry: str) -> bool:
+        """Return whether an entry's lease row changed within two lease periods."""
+        # As of the last read, because no row can change during an outage.
         seen = self.leases.get(entry)
         if seen is None or seen.row.fenced_by or seen.row.released:
             return False
-        if self.last_read is None:
+        if self.last_refresh is None:
             return False
-        return self.last_read - seen.unchanged_since <= 2 * self.lease_seconds
+        return self.last_refresh - seen.unchanged_since <= 2 * self.lease_seconds
 
-    def living(self) -> list[LeaseRow]:
-        """Return the rows of the entries that live, in the order of their names."""
+    def living_rows(self) -> list[LeaseRow]:
+        """Return the lease rows of the entries that are alive, ordered by name."""
         return [
-            seen.row for name, seen in sorted(self.leases.items()) if self.alive(name)
+            seen.row
+            for name, seen in sorted(self.leases.items())
+            if self.is_alive(name)
         ]
 
-    def present(self) -> list[LeaseRow]:
-        """Return the rows of entries that did not leave, as far as anyone knows.
+    def unreleased_rows(self) -> list[LeaseRow]:
+        """Return the lease rows of entries that neither left nor were taken over.
 
-        Unlike ``living``, these are still there in a long outage of the platform.
+        Unlike ``living_rows``, this does not depend on recent renewals.
         """
         rows = [seen.row for _, seen in sorted(self.leases.items())]
         return [row for row in rows if not row.fenced_by and not row.released]
 
-    def _skip_silence(self, now: float) -> None:
-        """Do not count time without the platform: no one could renew then."""
-        if self.last_read is None:
+    def _exclude_outage(self, now: float) -> None:
+        """Exclude outages of the platform, during which no lease could be renewed."""
+        if self.last_refresh is None:
             return
-        silence = now - self.last_read
-        if silence > self.lease_seconds / 2:
+        outage = now - self.last_refresh
+        if outage > self.lease_seconds / 2:
             for seen in self.leases.values():
                 seen.unchanged_since = max(seen.unchanged_since, now)
 
-    def _take_lease(self, row: Row, now: float) -> None:
+    def _apply_lease_row(self, row: Row, now: float) -> None:
         entry = row.key.removeprefix(LEASE_PREFIX)
         if row.value is None:
             self.leases.pop(entry, None)
@@ -175,20 +187,20 @@
         known = self.leases.get(entry)
         if known is None or known.version < row.version:
             content = msgspec.json.decode(row.value, type=LeaseRow)
-            self.leases[entry] = self._seen(known, content, row.version, now)
+            self.leases[entry] = self._observe(known, content, row.version, now)
 
-    def _seen(
-        self, known: LeaseSeen | None, content: LeaseRow, version: int, now: float
-    ) -> LeaseSeen:
+    def _observe(
+        self, known: ObservedLease | None, content: LeaseRow, version: int, now: float
+    ) -> ObservedLease:
         if known is None:
-            return LeaseSeen(content, version, now, -math.inf, -math.inf, now)
+            return ObservedLease(content, version, now, -math.inf, -math.inf, now)
         if known.row.renewals == content.renewals:
-            # Changed by another entry: it was not renewed since.
+            # Changed by another entry, not renewed by its own.
             return replace(known, row=content, version=version, unchanged_since=now)
         after = known.written_after
-        return LeaseSeen(content, version, now, self.last_asked, after, now)
+        return ObservedLease(content, version, now, self.current_as_of, after, now)
 
-    def _take_range(self, row: Row) -> None:
+    def _apply_range_row(self, row: Row) -> None:
         range_id = range_of_key(row.key)
         if row.value is None:
             self.ranges.pop(range_id, None)
@@ -196,4 +208,4 @@
         known = self.ranges.get(range_id)
         if known is None or known.version < row.version:
             content = msgspec.json.decode(row.value, type=RangeRow)
-            self.ranges[range_id] = RangeSeen(content, row.version)
+            self.ranges[range_id] = ObservedRange(content, row.version)
--- a/bergamotcourse/coordination/membership.py
+++ b/bergamotcourse/coordination/membership.py
@@ -1,7 +1,8 @@
-"""How entries learn of agents: one row for each in the platform's table.
+"""Discovery of agents by entries, through one row per agent in the platform's table.
 
-An agent writes its row at its start and then rarely. An entry reads what changed and
-attaches itself to the agents by a message; the rest rides on the agents' messages.
+An agent writes its row when it starts and renews it rarely. An entry reads the changed
+rows and sends ``Attach`` to the agents it works with; everything else is carried by the
+agents' messages.
 """
 
 import logging
@@ -19,7 +20,7 @@
     AgentHealth,
     AgentView,
 )
-from bergamotcourse.coordination.neighbours import Demand, Located, Neighbours
+from bergamotcourse.coordination.neighbours import Demand, Neighbours, ProcessLocation
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import AgentId, EntryId, LinkAddress
 from bergamotcourse.protocol.mailer import Mailer
@@ -29,50 +30,52 @@
 
 logger = logging.getLogger(__name__)
 
-ATTACH_PERIODS = 12
-"""An entry tells an agent again after so many heartbeats that it is there."""
+ATTACH_HEARTBEATS = 12
+"""Heartbeats after which an entry repeats its ``Attach`` to an agent."""
 
-SILENT_ATTACH_PERIODS = 1
-"""The same towards an agent that does not answer, for ``PATIENCE_PERIODS``."""
+UNRESPONSIVE_ATTACH_HEARTBEATS = 1
+"""The same for an agent that does not respond, while it has been silent for less than
+``UNRESPONSIVE_RETRY_HEARTBEATS``."""
 
-PATIENCE_PERIODS = 20
+UNRESPONSIVE_RETRY_HEARTBEATS = 20
 
-ASK_AGAIN_PERIODS = 0.1
-"""The same towards an agent whose state is not known here."""
+STATE_REQUEST_HEARTBEATS = 0.1
+"""The same for an agent whose state is not known to this entry."""
 
-FORGET_SECONDS = 900.0
-"""An agent that is silent and did not renew its row for so long is forgotten. This
-must exceed the time for which submissions are remembered."""
+EVICTION_SECONDS = 900.0
+"""An agent that is silent and has not renewed its row for this long is evicted. Must
+exceed the retention period of submissions."""
 
 ROW_RENEWAL_SECONDS = 300.0
-"""Every entry reads each renewal: at 520 agents, 60 s would cost it 1 KB/s."""
+"""Every entry reads each renewal: with 520 agents, 60 s would cost it 1 KB/s."""
 
 
 @dataclass(frozen=True)
-class RowSeen:
-    """An agent's row as last read, and when that was, in seconds."""
+class ObservedRow:
+    """Version of an agent's row as last read, and when that was, in seconds."""
 
     version: int
     at: float
 
 
-class AgentFinder:
-    """Keeps an entry's directory of agents, and its attachments to some of them.
+class AgentDiscovery:
+    """Maintains an entry's directory of agents and its attachments to some of them.
 
     Attributes:
         entry: Name of this entry.
-        entries: The entries there are, this one among them.
-        queued: The number of tasks that wait here, by service.
-        version: Of the table, as last read.
-        found: The table was read.
-        renewed: When each agent's row changed last, in seconds, and its version.
-        neighbours: The order and the bound of the attachments.
+        entries: Returns all entries, including this one.
+        queued: Returns the number of tasks queued at this entry, by service.
+        version: Version of the table as last read.
+        agents_listed: Whether the table has been read.
+        row_renewals: Version and time of the last change of each agent's row.
+        neighbours: The order and the limit of the attachments.
+        chosen_agents: Agents that this entry is to be attached to.
     """
 
     def __init__(
         self,
-        me: Located,
-        entries: Callable[[], list[Located]],
+        own_location: ProcessLocation,
+        entries: Callable[[], list[ProcessLocation]],
         queued: Callable[[], dict[str, int]],
         directory: AgentDirectory,
         platform: Platform,
@@ -81,7 +84,7 @@
         heartbeat_seconds: float,
         neighbours: int,
     ):
-        self.entry = EntryId(me.name)
+        self.entry = EntryId(own_location.name)
         self.entries = entries
         self.queued = queued
         self.directory = directory
@@ -89,78 +92,80 @@
         self.mailer = mailer
         self.timers = timers
         self.heartbeat_seconds = heartbeat_seconds
-        self.neighbours = Neighbours(me, neighbours)
+        self.neighbours = Neighbours(own_location, neighbours)
         self.version = 0
-        self.found = False
+        self.agents_listed = False
         self.read_at = 0.0
-        self.renewed: dict[AgentId, RowSeen] = {}
+        self.row_renewals: dict[AgentId, ObservedRow] = {}
         self.services: dict[AgentId, list[str]] = {}
-        self.chosen: set[AgentId] = set()
+        self.chosen_agents: set[AgentId] = set()
 
     async def watch(self) -> bool:
-        """Read which agents came or went; return whether the platform answered."""
+        """Read the changed rows of agents and return whether the platform answered."""
         changes = await self.platform.read_since(AGENT_PREFIX, self.version)
         if changes.is_error():
             return False
-        self._skip_silence()
+        self._exclude_outage()
         self.version = changes.ok.version
         for row in changes.ok.rows:
-            self._take(row)
-        if not self.found or changes.ok.rows:
-            self.found = True
-            await self.tend()
-        await self._forget_dead()
+            self._apply_row(row)
+        if not self.agents_listed or changes.ok.rows:
+            self.agents_listed = True
+            await self.update_attachments()
+        await self._evict_dead_agents()
         return True
 
-    async def tend(self) -> None:
-        """Attach to the agents that this entry works with, detach from others."""
-        self.neighbours.me = Located(self.entry, self.neighbours.me.zone)
-        agents = [Located(view.id, view.zone) for view in self.directory]
-        order = self.neighbours.order(agents, self.entries())
+    async def update_attachments(self) -> None:
+        """Attach to the agents chosen for this entry and detach from idle others."""
+        self.neighbours.own_location = ProcessLocation(
+            self.entry, self.neighbours.own_location.zone
+        )
+        agents = [ProcessLocation(view.id, view.zone) for view in self.directory]
+        order = self.neighbours.rank_agents(agents, self.entries())
         chosen = self._choose([self.directory.views[agent] for agent in order])
         for view in self.directory:
             if view.id in chosen:
                 self._attach(view)
             elif view.attached and not view.busy():
                 self._detach(view)
-        self.chosen = chosen
+        self.chosen_agents = chosen
 
-    async def adjust(self) -> None:
-        """Work with more agents at once where slots are missing."""
-        if len(self.directory.views) <= self.neighbours.least:
+    async def adjust_attachment_limit(self) -> None:
+        """Adjust the attachment limit to the demand for slots."""
+        if len(self.directory.views) <= self.neighbours.min_attachments:
             return
-        before = self.neighbours.bound
+        previous_limit = self.neighbours.attachment_limit
         now = self.timers.now()
         demands = self._demands(now)
         slots = [sum(o.slots for o in v.offers.values()) for v in self.directory]
         known = [count for count in slots if count]
-        mean = sum(known) / len(known) if known else 1.0
-        self.neighbours.adjust(demands.values(), mean, now)
-        most = len(self.directory.views)
-        self.neighbours.bound = min(self.neighbours.bound, most)
-        if self.neighbours.bound != before:
-            await self.tend()
-
-    def greet(self, address: LinkAddress) -> None:
-        """Ask an agent for its whole state, of which only the load came."""
+        mean_slots = sum(known) / len(known) if known else 1.0
+        self.neighbours.adjust_limit(demands.values(), mean_slots, now)
+        agents = len(self.directory.views)
+        self.neighbours.attachment_limit = min(self.neighbours.attachment_limit, agents)
+        if self.neighbours.attachment_limit != previous_limit:
+            await self.update_attachments()
+
+    def request_full_state(self, address: LinkAddress) -> None:
+        """Request the full state of an agent from which only a load was received."""
         view = self.directory.by_address.get(address)
-        if view is not None and view.id in self.chosen:
+        if view is not None and view.id in self.chosen_agents:
             view.state = None
-            self._attach(view, ASK_AGAIN_PERIODS)
+            self._attach(view, STATE_REQUEST_HEARTBEATS)
 
     def detach_all(self) -> None:
-        """Tell the agents that this entry leaves."""
+        """Notify the attached agents that this entry is leaving."""
         for view in self.directory:
             if view.attached:
                 self.mailer.post(view.address, Detach(self.entry))
 
-    def _take(self, row: Row) -> None:
+    def _apply_row(self, row: Row) -> None:
         agent = AgentId(row.key.removeprefix(AGENT_PREFIX))
         content = msgspec.json.decode(row.value, type=AgentRow) if row.value else None
         if content is None or content.left:
             self._remove(agent)
             return
-        self.renewed[agent] = RowSeen(row.version, self.timers.now())
+        self.row_renewals[agent] = ObservedRow(row.version, self.timers.now())
         self.services[agent] = content.services
         view = self.directory.add(agent, LinkAddress(content.address), content.zone)
         if view.row_boot != content.boot:
@@ -168,31 +173,31 @@
             view.last_attach = NEVER
 
     def _remove(self, agent: AgentId) -> None:
-        self.renewed.pop(agent, None)
+        self.row_renewals.pop(agent, None)
         self.services.pop(agent, None)
         view = self.directory.remove(agent, self.timers.now())
         if view is not None:
             self.mailer.forget(view.address)
 
     def _choose(self, order: list[AgentView]) -> set[AgentId]:
-        """Return the first agents of an order that make up the bound of a service.
+        """Return the first agents of an order that fill the limit of each service.
 
-        One that may not get work is kept but does not count.
+        An agent that may not be sent work is included but does not count.
         """
         now = self.timers.now()
         counts: Counter[str] = Counter()
         chosen = set()
         for view in order:
             services = list(view.offers) or self.services.get(view.id) or [""]
-            if all(counts[one] >= self.neighbours.bound for one in services):
+            if all(counts[one] >= self.neighbours.attachment_limit for one in services):
                 continue
             chosen.add(view.id)
-            if self._counts(view, now):
+            if self._counts_toward_limit(view, now):
                 counts.update(services)
         return chosen
 
-    def _counts(self, view: AgentView, now: float) -> bool:
-        """Return whether an agent may get work, or may soon."""
+    def _counts_toward_limit(self, view: AgentView, now: float) -> bool:
+        """Return whether an agent may be sent work now or is expected to be soon."""
         match self.directory.health(view, now):
             case AgentHealth.USABLE:
                 return True
@@ -216,26 +221,26 @@
             demands.setdefault(service, Demand()).queued = count
         return demands
 
-    def _attach(self, view: AgentView, periods: float = ATTACH_PERIODS) -> None:
+    def _attach(self, view: AgentView, periods: float = ATTACH_HEARTBEATS) -> None:
         now = self.timers.now()
-        # Starts tell an agent as well that this entry is there.
-        spoke = view.last_sent if view.attached and view.state else NEVER
-        last = max(view.last_attach, spoke)
+        # A start also shows an agent that this entry is present.
+        last_sent = view.last_sent if view.attached and view.state else NEVER
+        last = max(view.last_attach, last_sent)
         if now - last < self._attach_seconds(view, periods, now):
             return
         if view.last_attach == NEVER:
             view.attach_since = now
         view.last_attach = now
-        has = view.state.number if view.state else 0
-        message = Attach(self.entry, self.neighbours.me.zone, has)
+        known_state = view.state.number if view.state else 0
+        message = Attach(self.entry, self.neighbours.own_location.zone, known_state)
         self.mailer.post(view.address, message)
 
     def _attach_seconds(self, view: AgentView, periods: float, now: float) -> float:
-        silent = now - max(view.last_heard, view.attach_since)
-        patience = PATIENCE_PERIODS * self.heartbeat_seconds
-        absent = not view.attached or silent > self.directory.silent_seconds
-        if absent and silent < patience:
-            periods = min(periods, SILENT_ATTACH_PERIODS)
+        silent_seconds = now - max(view.last_heard, view.attach_since)
+        retry_seconds = UNRESPONSIVE_RETRY_HEARTBEATS * self.heartbeat_seconds
+        absent = not view.attached or silent_seconds > self.directory.silent_seconds
+        if absent and silent_seconds < retry_seconds:
+            periods = min(periods, UNRESPONSIVE_ATTACH_HEARTBEATS)
         return periods * self.heartbeat_seconds
 
     def _detach(self, view: AgentView) -> None:
@@ -243,34 +248,34 @@
         view.last_attach = NEVER
         self.mailer.post(view.address, Detach(self.entry))
 
-    def _skip_silence(self) -> None:
-        """Do not count time without the platform: no one could renew then."""
+    def _exclude_outage(self) -> None:
+        """Exclude outages of the platform, during which no row could be renewed."""
         now = self.timers.now()
         if now - self.read_at > ROW_RENEWAL_SECONDS:
-            self.renewed = {
-                agent: RowSeen(seen.version, now)
-                for agent, seen in self.renewed.items()
+            self.row_renewals = {
+                agent: ObservedRow(seen.version, now)
+                for agent, seen in self.row_renewals.items()
             }
         self.read_at = now
 
-    async def _forget_dead(self) -> None:
-        """Remove agents whose rows were not renewed and that are silent."""
+    async def _evict_dead_agents(self) -> None:
+        """Remove agents that are silent and whose rows were not renewed."""
         now = self.timers.now()
-        for agent, seen in list(self.renewed.items()):
+        for agent, seen in list(self.row_renewals.items()):
             view = self.directory.views.get(agent)
-            heard = view.last_heard if view else 0.0
-            if now - max(seen.at, heard) < FORGET_SECONDS:
+            last_heard = view.last_heard if view else 0.0
+            if now - max(seen.at, last_heard) < EVICTION_SECONDS:
                 continue
             self._remove(agent)
             await self.platform.transact([Write(agent_key(agent), None, seen.version)])
 
 
 class AgentRegistration:
-    """Keeps an agent's row in the platform's table.
+    """Maintains an agent's row in the platform's table.
 
     Attributes:
-        first: No row of this identity was there before; ``None`` until known.
-        replaced: Another process has taken this identity.
+        first: Whether no row of this identity existed before; ``None`` until known.
+        replaced: Another process has registered under this identity.
     """
 
     def __init__(self, row: AgentRow, platform: Platform, timers: Timers):
@@ -283,30 +288,30 @@
         self.replaced = False
         self.written_at = 0.0
 
-    def offer(self, services: list[str]) -> None:
-        """Note in the row which services the agent's upstreams serve."""
+    def set_services(self, services: list[str]) -> None:
+        """Set the services that the agent's upstreams serve; written by ``watch``."""
         if services != self.row.services:
             self.row = msgspec.structs.replace(self.row, services=services)
             self.written_at = -math.inf
 
     async def watch(self) -> None:
-        """Write the row if it is not there, and again from time to time."""
+        """Write the row if it is missing or changed or its renewal is due."""
         age = self.timers.now() - self.written_at
         if self.replaced or (self.registered and age < ROW_RENEWAL_SECONDS):
             return
         result = await self.platform.transact([self._write()])
         match result:
             case Result(tag="ok", ok=Conflict(rows=rows)):
-                self._take_conflict(rows[0])
+                self._handle_conflict(rows[0])
                 if not self.replaced:
-                    await self._write_over()
+                    await self._overwrite()
             case Result(tag="ok", ok=committed):
-                self._written(committed.version)
+                self._record_write(committed.version)
             case _:
                 pass
 
     async def leave(self) -> None:
-        """Note in the row that the agent left, on a planned stop."""
+        """Mark the row to show that the agent left, on a planned stop."""
         self.row = msgspec.structs.replace(self.row, left=True)
         await self.platform.transact([self._write()])
 
@@ -314,27 +319,29 @@
         content = msgspec.json.encode(self.row)
         return Write(agent_key(self.row.agent), content, self.version)
 
-    def _take_conflict(self, row: Row) -> None:
+    def _handle_conflict(self, row: Row) -> None:
         found = msgspec.json.decode(row.value, type=AgentRow) if row.value else None
         ours = found is not None and found.boot == self.row.boot
         if self.registered and not ours and found is not None:
-            logger.error("another process took the identity %s", self.row.agent)
+            logger.error(
+                "another process registered under the identity %s", self.row.agent
+            )
             self.replaced = True
         self.version = row.version if row.value else ABSENT
         if not ours and found is not None and self.first is None:
             self.first = False
 
-    async def _write_over(self) -> None:
-        """Write over the row of an earlier process of this identity."""
+    async def _overwrite(self) -> None:
+        """Overwrite the row of an earlier process of this identity."""
         match await self.platform.transact([self._write()]):
             case Result(tag="ok", ok=Conflict()):
                 pass
             case Result(tag="ok", ok=committed):
-                self._written(committed.version)
+                self._record_write(committed.version)
             case _:
                 pass
 
-    def _written(self, version: int) -> None:
+    def _record_write(self, version: int) -> None:
         self.version = version
         self.registered = True
         self.written_at = self.timers.now()
--- a/bergamotcourse/coordination/ownership.py
+++ b/bergamotcourse/coordination/ownership.py
@@ -1,8 +1,8 @@
-"""Which ranges of the key space this entry owns, and how it comes by them.
+"""Ownership of ranges of the key space, and how an entry acquires them.
 
-Ranges below ``HASHED_RANGES`` hold the keys that callers make. Each entry also makes a
-range of its own, the home range, under which it hands out keys: claims for those need
-no message as long as the session stays with the entry.
+Ranges below ``HASHED_RANGES`` contain the keys that callers generate. Each entry also
+creates its own home range, under which it hands out keys: claims on those need no
+message as long as the session stays with the entry.
 """
 
 import random
@@ -14,7 +14,7 @@
 import xxhash
 
 from bergamotcourse.coordination.lease import Lease, LeaseState
-from bergamotcourse.coordination.lease_view import LeaseSeen, LeaseView
+from bergamotcourse.coordination.lease_view import LeaseView, ObservedLease
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import Epoch, RangeId, SubmissionId
 from bergamotcourse.protocol.platform import ABSENT, Platform, Write
@@ -27,23 +27,25 @@
 
 FIRST_EPOCH = Epoch(1)
 UNKEYED_RANGE = RangeId(-1)
-"""For requests without a key: no one can submit them again, so no one owns them."""
+"""Range of requests without a key; it has no owner, as they cannot be resubmitted."""
 
 HOME_RANGE_BITS = 32
 
 
 class RangeState(Enum):
-    """Whether an owned range may grant claims.
+    """Whether claims on an owned range may be granted.
 
     Attributes:
-        RECOVERING: Taken over; what was started is being found out.
+        RECOVERING: The range was taken over, and the former owner's grants are being
+            recovered.
         READY: Claims are granted.
-        QUESTIONED: An agent knows a newer epoch: another entry may have taken over.
+        UNCONFIRMED: An agent reported a newer epoch, so another entry may have taken
+            over; claims are refused until the platform confirms the ownership.
     """
 
     RECOVERING = "recovering"
     READY = "ready"
-    QUESTIONED = "questioned"
+    UNCONFIRMED = "questioned"
 
 
 @dataclass
@@ -51,29 +53,31 @@
     """A range that this entry owns.
 
     Attributes:
-        former: Lease row of the former owner, as last seen; ``None`` where there is
-            none.
-        unheard: Agents that may have started work of the former owner and did not
-            tell; while there are any, a key that may be as old is suspect.
-        since: Seconds; when this entry began to grant.
-        since_wall_ms: After the former owner's last grant, on the wall clock, for keys
-            that carry a time; on the former owner's wall clock where that was ahead.
+        former: Lease row of the former owner as last read; ``None`` if there was
+            no former owner.
+        unreported_agents: Agents that may have started work of the former owner and
+            have not reported all of it. While there are any, an unknown key that may
+            date from before the takeover is refused.
+        granting_since: When this entry began to grant claims, in seconds.
+        granting_since_wall_ms: Wall-clock time after the former owner's last grant,
+            for keys that carry a time. Taken from the former owner's wall clock if that
+            was ahead.
     """
 
     epoch: Epoch
     state: RangeState
-    since: float
-    since_wall_ms: int
-    former: LeaseSeen | None = None
-    unheard: set[str] = field(default_factory=set)
+    granting_since: float
+    granting_since_wall_ms: int
+    former: ObservedLease | None = None
+    unreported_agents: set[str] = field(default_factory=set)
 
 
 class Ownership:
-    """The ranges of one entry.
+    """The ranges owned by one entry.
 
     Attributes:
         home: The range under which this entry hands out keys.
-        joined_at: Seconds; when the lease was first held.
+        joined_at: When the lease was first held, in seconds.
         on_dropped: Called with the ranges that this entry no longer owns.
     """
 
@@ -96,11 +100,11 @@
         self.owned: dict[RangeId, OwnedRange] = {}
         self.joined_at: float | None = None
         self.on_dropped: Callable[[set[int]], None] = lambda _ranges: None
-        lease.wanted_successor = self.successor
+        lease.preferred_successor = self.successor
         lease.address_of = view.address
 
-    def holds(self, range_id: RangeId, now: float) -> OwnedRange | None:
-        """Return the range if this entry owns it and its lease holds."""
+    def held_range(self, range_id: RangeId, now: float) -> OwnedRange | None:
+        """Return the range if this entry owns it and its lease is valid."""
         if not self.lease.valid(now):
             return None
         return self.owned.get(range_id)
@@ -112,112 +116,119 @@
         return all(self.view.owner(r) is not None for r in range(HASHED_RANGES))
 
     def successor(self) -> str:
-        """Return the next living entry of the ring, one of another zone if any.
+        """Return the next live entry of the ring, of another zone if there is one.
 
-        The ring goes through the entries ordered so that zones alternate: the entry
-        that takes over is then not lost with the same availability zone.
+        The ring orders the entries so that availability zones alternate. The successor
+        is then not lost together with this entry's zone.
         """
-        ring = ring_of(self.view.living(), self.lease)
+        ring = successor_ring(self.view.living_rows(), self.lease)
         if len(ring) < 2:
             return ""
-        place = ring.index(self.lease.entry)
-        return ring[(place + 1) % len(ring)]
+        position = ring.index(self.lease.entry)
+        return ring[(position + 1) % len(ring)]
 
-    def may_inherit(self, entry: str) -> bool:
-        """Return whether an entry without a living successor falls to this one."""
-        living = [row.entry for row in self.view.living()]
-        candidates = living or [self.me]
-        return best_owner(entry, candidates) == self.me
+    def is_fallback_successor_of(self, entry: str) -> bool:
+        """Return whether this entry takes over an entry without a live successor."""
+        living = [row.entry for row in self.view.living_rows()]
+        candidates = living or [self.entry_id]
+        return best_owner(entry, candidates) == self.entry_id
 
-    def question(self, range_id: RangeId, epoch: Epoch) -> None:
-        """Grant nothing of a range until the platform has told who owns it."""
+    def suspend_range(self, range_id: RangeId, epoch: Epoch) -> None:
+        """Refuse claims on a range until the platform confirms its owner.
+
+        Has no effect if the range is owned in a different epoch.
+        """
         owned = self.owned.get(range_id)
         if owned is None or owned.epoch != epoch:
             return
         if owned.state is RangeState.READY:
-            owned.state = RangeState.QUESTIONED
+            owned.state = RangeState.UNCONFIRMED
 
     def drop(self, ranges: set[RangeId]) -> None:
-        """Note that ranges belong to another entry now."""
+        """Remove ranges that this entry no longer owns, and notify ``on_dropped``."""
         for range_id in ranges:
             self.owned.pop(range_id, None)
         if ranges:
             self.on_dropped(set(ranges))
 
     async def watch(self) -> None:
-        """Take the ranges that have no owner and fall to this entry."""
+        """Claim unowned ranges and update the owned ones from the platform's table."""
         if self.lease.state is not LeaseState.HELD or not await self.view.refresh():
             return
         now = self.timers.now()
         if self.joined_at is None:
             self.joined_at = now
-        wanted = self._unowned_share(now)
+        wanted = self._ranges_to_claim(now)
         if self.view.owner(self.home) is None:
             wanted.append(self.home)
         if wanted:
-            await self._take_unowned(wanted)
-        self._adopt_own()
+            await self._claim_unowned(wanted)
+        self._add_claimed_ranges()
         self._drop_lost()
         for owned in self.owned.values():
-            if owned.state is RangeState.QUESTIONED:
+            if owned.state is RangeState.UNCONFIRMED:
                 owned.state = RangeState.READY
 
-    def _unowned_share(self, now: float) -> list[RangeId]:
-        """Return the unowned ranges that fall to this entry, or all after a while."""
+    def _ranges_to_claim(self, now: float) -> list[RangeId]:
+        """Return the unowned ranges for this entry to claim.
+
+        These are the ranges that rendezvous hashing assigns to it; from two lease
+        periods after joining, all ranges that are still unowned.
+        """
         waited = now - self.joined_at
         if waited < self.lease.seconds / 2:
             return []
         unowned = [r for r in range(HASHED_RANGES) if self.view.owner(r) is None]
         if waited > 2 * self.lease.seconds:
             return [RangeId(r) for r in unowned]
-        living = [row.entry for row in self.view.living()]
-        return [RangeId(r) for r in unowned if best_owner(r, living) == self.me]
+        living = [row.entry for row in self.view.living_rows()]
+        return [RangeId(r) for r in unowned if best_owner(r, living) == self.entry_id]
 
     @property
-    def me(self) -> str:
+    def entry_id(self) -> str:
         """Return this entry's id."""
         return self.lease.entry
 
-    async def _take_unowned(self, ranges: list[RangeId]) -> None:
-        row = RangeRow(self.me, FIRST_EPOCH)
+    async def _claim_unowned(self, ranges: list[RangeId]) -> None:
+        row = RangeRow(self.entry_id, FIRST_EPOCH)
         content = msgspec.json.encode(row)
         writes = [Write(range_key(r), content, ABSENT) for r in ranges]
-        # Not once another entry has taken over: it would not know of these ranges.
-        key = lease_key(self.me)
+        # Fails once another entry has taken over, as that would miss these ranges.
+        key = lease_key(self.entry_id)
         writes.append(Write(key, None, self.lease.version, check_only=True))
         await self.platform.transact(writes)
         await self.view.refresh()
 
-    def _adopt_own(self) -> None:
-        """Take up the ranges that the platform shows as this entry's."""
+    def _add_claimed_ranges(self) -> None:
+        """Add the ranges whose rows name this entry as their first owner."""
         for range_id, seen in self.view.ranges.items():
-            mine = seen.row.owner == self.me and range_id not in self.owned
+            mine = seen.row.owner == self.entry_id and range_id not in self.owned
             if mine and seen.row.epoch == FIRST_EPOCH:
                 self.add(RangeId(range_id), FIRST_EPOCH, RangeState.READY)
 
     def add(self, range_id: RangeId, epoch: Epoch, state: RangeState) -> OwnedRange:
-        """Note a range as owned from now on."""
+        """Record a range as owned from now on."""
         owned = OwnedRange(epoch, state, self.timers.now(), self.wall_ms())
         self.owned[range_id] = owned
         return owned
 
     def _drop_lost(self) -> None:
         seen = {range_id: self.view.owner(range_id) for range_id in self.owned}
-        self.drop({r for r, s in seen.items() if s and s.row.owner != self.me})
+        self.drop({r for r, s in seen.items() if s and s.row.owner != self.entry_id})
 
 
 def hashed_range(submission: SubmissionId) -> RangeId:
-    """Return the range of a key that a caller made."""
+    """Return the range of a key that a caller generated."""
     return RangeId(int.from_bytes(submission[:4], "big") % HASHED_RANGES)
 
 
 def best_owner(name: int | str, entries: list[str]) -> str:
-    """Return the entry that a range or lease falls to, by rendezvous hashing."""
+    """Return the entry that rendezvous hashing assigns a range or lease to."""
     return max(entries, key=lambda e: xxhash.xxh3_64_intdigest(f"{name}/{e}".encode()))
 
 
-def ring_of(living, lease: Lease) -> list[str]:
-    """Return the entries in ring order: by turns from each availability zone."""
+def successor_ring(living, lease: Lease) -> list[str]:
+    """Return the entries in ring order, alternating between availability zones."""
     by_zone: dict[str, list[str]] = {}
     for row in living:
         by_zone.setdefault(row.zone, []).append(row.entry)
--- a/bergamotcourse/coordination/range_recovery.py
+++ b/bergamotcourse/coordination/range_recovery.py
@@ -1,12 +1,14 @@
-"""Finding out what the former owner of ranges had granted.
+"""Recovery of what the former owner of ranges had granted.
 
-Its journal is read, and every agent is asked to refuse the old epochs and to tell what
-it started. A range is ready when every agent has answered, or once no old start can be
-admitted any more. Agents that did not answer, or that do not remember far enough, leave
-the range with suspect keys until they do, or until the keys are too old.
+The former owner's journal is read, and every agent is ordered to refuse the old epochs
+and to report what it started. A range is ready once every agent has reported, or once
+no old start can be admitted any more. While an agent has not reported, or its start log
+does not reach back far enough, unknown keys that the former owner may have granted are
+refused until the agent reports or the keys exceed the retention period.
 
-The ranges' rows stay marked as doubtful until all that was found is journaled here:
-whoever takes over in the meantime starts from the former owners' journals as well.
+The rows of the ranges stay marked as doubtful until everything recovered is journaled
+by this entry: an entry that takes over in the meantime also reads the former owners'
+journals.
 """
 
 import math
@@ -19,7 +21,11 @@
 
 from bergamotcourse.coordination.agents import AgentDirectory
 from bergamotcourse.coordination.journal import Journal
-from bergamotcourse.coordination.lease_view import DRIFT_SHARE, LeaseSeen, LeaseView
+from bergamotcourse.coordination.lease_view import (
+    MAX_CLOCK_DRIFT_RATIO,
+    LeaseView,
+    ObservedLease,
+)
 from bergamotcourse.coordination.ownership import Ownership, RangeState
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import Attempt, EntryId, Epoch, LinkAddress, RangeId
@@ -37,60 +43,64 @@
 
 
 @dataclass(frozen=True)
-class Inheritance:
+class TakenOverRanges:
     """Ranges that were taken over together.
 
     Attributes:
-        former: Who owned them.
-        dead: The former owner, and before it whom that one had taken over and not
-            yet journaled, with their leases as last seen.
-        grants_seconds: The former owner's grants may be used for so long.
-        strict_seconds: For so long the former owner may grant anew.
+        former: The entry that owned the ranges.
+        dead_leases: Leases as last read, by entry: the entries that the former owner
+            had taken over and not yet journaled, then the former owner itself.
+        ranges: Epoch of each range under this entry.
+        grants_seconds: Time for which the former owner's grants may still be used.
+        strict_seconds: Time for which the former owner may still grant claims.
     """
 
     former: str
-    dead: dict[str, LeaseSeen]
+    dead_leases: dict[str, ObservedLease]
     ranges: dict[RangeId, Epoch]
     grants_seconds: float
     strict_seconds: float
 
 
 @dataclass
-class Recovery:
-    """Ranges taken over, until all is known that can be; times in seconds.
+class RecoveryProgress:
+    """Progress of the recovery of ranges; times are in seconds.
 
     Attributes:
-        unwritten_since: Claims that were made earlier are in a journal.
-        agents: Addresses of all agents that may have started something; ``None``
-            until they were read from the platform.
-        heard: Agents that told all that they ever started of the ranges.
-        found_at: When something was last found.
+        unjournaled_since: All claims made before this time are in a journal.
+        agents: Addresses of all agents that may have started work of the ranges;
+            ``None`` until they were read from the platform.
+        departed: Agents that have left and may have started work of the ranges.
+        reported_agents: Agents that reported all their starts of the ranges.
+        journal_read: Whether all journals have been read.
+        last_record_at: When the last record was recovered.
+        ready_at: When the ranges became ready; ``None`` before that.
     """
 
-    inheritance: Inheritance
-    began: float
-    unwritten_since: float
+    taken_over: TakenOverRanges
+    started_at: float
+    unjournaled_since: float
     agents: dict[str, LinkAddress] | None = None
     departed: set[str] = field(default_factory=set)
-    heard: set[str] = field(default_factory=set)
+    reported_agents: set[str] = field(default_factory=set)
     journal_read: bool = False
-    found_at: float = 0.0
-    opened_at: float | None = None
+    last_record_at: float = 0.0
+    ready_at: float | None = None
 
-    def unheard(self) -> set[str]:
-        """Return the agents that did not tell all that they started."""
-        return (set(self.agents or {}) | self.departed) - self.heard
+    def unreported_agents(self) -> set[str]:
+        """Return the agents that have not reported all their starts."""
+        return (set(self.agents or {}) | self.departed) - self.reported_agents
 
 
 class RangeRecovery:
     """Recovers the ranges that this entry takes over.
 
     Attributes:
-        list_agents: Brings the directory up to date; returns whether the platform
-            answered.
-        token_seconds: The life of the agents' tokens.
-        skew_seconds: The wall clocks of two entries differ by less than this.
-        recoveries: Those under way.
+        list_agents: Updates the directory from the platform and returns whether the
+            platform answered.
+        token_seconds: Lifetime of the agents' tokens.
+        skew_seconds: Bound on the difference between the wall clocks of two entries.
+        recoveries: Recoveries in progress.
     """
 
     def __init__(
@@ -118,33 +128,33 @@
         self.timers = timers
         self.token_seconds = token_seconds
         self.skew_seconds = skew_seconds
-        self.recoveries: list[Recovery] = []
+        self.recoveries: list[RecoveryProgress] = []
 
-    def begin(self, inheritance: Inheritance) -> None:
-        """Begin to recover ranges; their claims wait until they are ready."""
-        for range_id, epoch in inheritance.ranges.items():
+    def begin(self, taken_over: TakenOverRanges) -> None:
+        """Start recovering ranges; claims on them are refused until they are ready."""
+        for range_id, epoch in taken_over.ranges.items():
             owned = self.ownership.add(range_id, epoch, RangeState.RECOVERING)
-            owned.former = inheritance.dead.get(inheritance.former)
-            owned.since_wall_ms = self._wall_ms(owned.former)
+            owned.former = taken_over.dead_leases.get(taken_over.former)
+            owned.granting_since_wall_ms = self._former_wall_limit_ms(owned.former)
         now = self.timers.now()
-        since = self._unwritten_since(inheritance)
-        self.recoveries.append(Recovery(inheritance, now, since))
+        since = self._unjournaled_since(taken_over)
+        self.recoveries.append(RecoveryProgress(taken_over, now, since))
 
     async def watch(self) -> None:
-        """Go on with all recoveries."""
+        """Advance all recoveries."""
         for recovery in list(self.recoveries):
-            await self._go_on(recovery)
+            await self._advance(recovery)
 
-    def concerns(self, entry: str) -> bool:
-        """Return whether an entry's rows are needed yet."""
-        return any(entry in one.inheritance.dead for one in self.recoveries)
+    def needs_rows_of(self, entry: str) -> bool:
+        """Return whether a recovery in progress still needs an entry's rows."""
+        return any(entry in one.taken_over.dead_leases for one in self.recoveries)
 
     @property
     def keep_seconds(self) -> float:
-        """How long submissions are remembered."""
+        """Return the retention period of submissions, in seconds."""
         return self.ledger.keep_ms / 1000
 
-    async def _go_on(self, recovery: Recovery) -> None:
+    async def _advance(self, recovery: RecoveryProgress) -> None:
         if recovery.agents is None:
             await self._read_agents(recovery)
         if not recovery.journal_read:
@@ -152,32 +162,36 @@
         await self._fence_agents(recovery)
         if recovery.agents is None or not recovery.journal_read:
             return
-        self._open(recovery)
-        if self._is_complete(recovery) and await self._clear_doubt(recovery):
+        self._open_ranges(recovery)
+        if self._is_complete(recovery) and await self._clear_doubtful_marks(recovery):
             self.recoveries.remove(recovery)
 
-    def _unwritten_since(self, inheritance: Inheritance) -> float:
+    def _unjournaled_since(self, taken_over: TakenOverRanges) -> float:
         """Return the earliest time of a claim that is in no journal.
 
-        Claims older than submissions are remembered do not count.
+        Claims older than the retention period are not considered.
         """
-        times = [s.time_of(s.row.journaled_ms) for s in inheritance.dead.values()]
+        times = [
+            s.earliest_time_of(s.row.journaled_ms)
+            for s in taken_over.dead_leases.values()
+        ]
         oldest = self.timers.now() - self.keep_seconds
         return max(min(times, default=-math.inf), oldest)
 
-    async def _read_agents(self, recovery: Recovery) -> None:
-        """Learn of all agents that the former owner's claimants may have known.
+    async def _read_agents(self, recovery: RecoveryProgress) -> None:
+        """List all agents that the former owner's claimants may have used.
 
-        They knew them from the platform, so a read after the takeover shows them all.
+        The claimants discovered them through the platform, so a read after the takeover
+        includes them all.
         """
         if not await self.list_agents():
             return
         recovery.agents = {view.id: view.address for view in self.directory}
-        departed = self.directory.departed_since(recovery.unwritten_since)
+        departed = self.directory.departed_since(recovery.unjournaled_since)
         recovery.departed = set(departed)
 
-    async def _read_journals(self, recovery: Recovery) -> bool:
-        for entry, seen in recovery.inheritance.dead.items():
+    async def _read_journals(self, recovery: RecoveryProgress) -> bool:
+        for entry, seen in recovery.taken_over.dead_leases.items():
             records = await self.journal.read(entry)
             if records.is_error():
                 return False
@@ -186,16 +200,16 @@
         return True
 
     def _restore(
-        self, recovery: Recovery, seen: LeaseSeen, record: JournalRecord
+        self, recovery: RecoveryProgress, seen: ObservedLease, record: JournalRecord
     ) -> None:
-        if record.range not in recovery.inheritance.ranges:
+        if record.range not in recovery.taken_over.ranges:
             return
         known = self.ledger.get(record.submission)
         if known is not None and known.attempt > record.attempt:
             return
         now_ms = self.timers.now_ms()
         oldest_ms = now_ms - 2 * self.ledger.keep_ms
-        claimed = seen.time_of(record.claimed_ms) * 1000
+        claimed_ms = seen.earliest_time_of(record.claimed_ms) * 1000
         restored = LedgerRecord(
             range=RangeId(record.range),
             digest=record.digest,
@@ -203,20 +217,22 @@
             address=LinkAddress(record.address),
             attempt=Attempt(record.attempt),
             at_ms=now_ms,
-            claimed_ms=int(max(claimed, oldest_ms)),
+            claimed_ms=int(max(claimed_ms, oldest_ms)),
             outcome=record.outcome,
             restored=True,
         )
-        self._put(recovery, record.submission, restored)
+        self._store_record(recovery, record.submission, restored)
 
-    def _put(self, recovery: Recovery, submission: bytes, record: LedgerRecord) -> None:
+    def _store_record(
+        self, recovery: RecoveryProgress, submission: bytes, record: LedgerRecord
+    ) -> None:
         self.ledger.put(submission, record)
-        self.journal.note(submission)
-        recovery.found_at = self.timers.now()
+        self.journal.enqueue(submission)
+        recovery.last_record_at = self.timers.now()
 
-    async def _fence_agents(self, recovery: Recovery) -> None:
-        """Ask the unheard agents to refuse older epochs and for their start logs."""
-        pairs = [(int(r), int(e)) for r, e in recovery.inheritance.ranges.items()]
+    async def _fence_agents(self, recovery: RecoveryProgress) -> None:
+        """Order unreported agents to refuse older epochs and send their start logs."""
+        pairs = [(int(r), int(e)) for r, e in recovery.taken_over.ranges.items()]
 
         async def fence(address: LinkAddress) -> None:
             reply = await self.mailer.request(
@@ -226,26 +242,28 @@
             )
             match reply:
                 case Result(tag="ok", ok=StartLogReply() as log):
-                    self._take_log(recovery, log)
+                    self._apply_start_log(recovery, log)
                 case _:
                     pass
 
         async with trio.open_nursery() as nursery:
             for agent, address in (recovery.agents or {}).items():
-                if agent not in recovery.heard:
+                if agent not in recovery.reported_agents:
                     nursery.start_soon(fence, address)
 
-    def _take_log(self, recovery: Recovery, log: StartLogReply) -> None:
+    def _apply_start_log(self, recovery: RecoveryProgress, log: StartLogReply) -> None:
         for record in log.records:
             known = self.ledger.get(record.submission)
             if known is None or known.attempt < record.attempt:
-                self._put(recovery, record.submission, self._logged(record))
-        remembered_since = self.timers.now() - log.up_ms / 1000 / (1 + DRIFT_SHARE)
-        if log.first or remembered_since < recovery.unwritten_since:
-            recovery.heard.add(log.agent)
-
-    def _logged(self, record: StartRecord) -> LedgerRecord:
-        age_ms = int(record.age_ms * (1 + DRIFT_SHARE))
+                self._store_record(
+                    recovery, record.submission, self._record_from_start_log(record)
+                )
+        log_since = self.timers.now() - log.up_ms / 1000 / (1 + MAX_CLOCK_DRIFT_RATIO)
+        if log.first or log_since < recovery.unjournaled_since:
+            recovery.reported_agents.add(log.agent)
+
+    def _record_from_start_log(self, record: StartRecord) -> LedgerRecord:
+        age_ms = int(record.age_ms * (1 + MAX_CLOCK_DRIFT_RATIO))
         return LedgerRecord(
             range=RangeId(record.range),
             digest=record.digest,
@@ -253,63 +271,72 @@
             address=LinkAddress(record.claimant),
             attempt=Attempt(record.attempt),
             at_ms=self.timers.now_ms(),
-            # The claim came before the start, by a submission's life at the most.
+            # The claim precedes the start by at most a submission's maximum lifetime.
             claimed_ms=self.timers.now_ms() - age_ms - self.ledger.keep_ms // 2,
         )
 
-    def _open(self, recovery: Recovery) -> None:
-        """Let the ranges grant claims once no old start can be admitted."""
-        unheard = recovery.unheard()
-        if recovery.opened_at is None:
-            if unheard and not self._waited_enough(recovery):
+    def _open_ranges(self, recovery: RecoveryProgress) -> None:
+        """Mark the ranges as ready once no old start can be admitted."""
+        unreported = recovery.unreported_agents()
+        if recovery.ready_at is None:
+            if unreported and not self._old_starts_expired(recovery):
                 return
-            recovery.opened_at = self.timers.now()
-        for range_id, epoch in recovery.inheritance.ranges.items():
+            recovery.ready_at = self.timers.now()
+        for range_id, epoch in recovery.taken_over.ranges.items():
             owned = self.ownership.owned.get(range_id)
             if owned is None or owned.epoch != epoch:
                 continue
-            owned.unheard = unheard
+            owned.unreported_agents = unreported
             if owned.state is RangeState.RECOVERING:
                 owned.state = RangeState.READY
-                owned.since = self.timers.now()
-                if recovery.inheritance.strict_seconds:
-                    owned.since_wall_ms = self._wall_ms(owned.former)
-
-    def _waited_enough(self, recovery: Recovery) -> bool:
-        inheritance = recovery.inheritance
-        seconds = inheritance.grants_seconds + self.token_seconds
-        seconds = max(seconds * (1 + DRIFT_SHARE), inheritance.strict_seconds)
-        return self.timers.now() - recovery.began >= seconds
-
-    def _wall_ms(self, former: LeaseSeen | None) -> int:
-        """Return the wall clock now, or the former owner's where that is ahead.
-
-        The former owner took no key that was ahead of its own clock by more than the
-        skew; so all keys that it took are from before this time and the skew.
+                owned.granting_since = self.timers.now()
+                if recovery.taken_over.strict_seconds:
+                    owned.granting_since_wall_ms = self._former_wall_limit_ms(
+                        owned.former
+                    )
+
+    def _old_starts_expired(self, recovery: RecoveryProgress) -> bool:
+        taken_over = recovery.taken_over
+        seconds = taken_over.grants_seconds + self.token_seconds
+        seconds = max(seconds * (1 + MAX_CLOCK_DRIFT_RATIO), taken_over.strict_seconds)
+        return self.timers.now() - recovery.started_at >= seconds
+
+    def _former_wall_limit_ms(self, former: ObservedLease | None) -> int:
+        """Return the wall-clock time, or the former owner's if that is ahead, in ms.
+
+        The former owner accepted no key whose time was ahead of its own clock by more
+        than the skew, so all keys that it accepted are older than this time plus the
+        skew.
         """
-        mine = self.ownership.wall_ms()
+        own_wall_ms = self.ownership.wall_ms()
         if former is None or not former.row.unix_ms:
-            return mine
+            return own_wall_ms
         since_ms = (self.timers.now() - former.renewed_after) * 1000
         if math.isinf(since_ms):
-            # Not known on this clock; but entries' clocks do not differ by more.
-            return mine + int(self.skew_seconds * 1000)
-        return max(mine, former.row.unix_ms + int(since_ms * (1 + DRIFT_SHARE)))
+            # The renewal time is unknown, but the clocks differ by at most the skew.
+            return own_wall_ms + int(self.skew_seconds * 1000)
+        return max(
+            own_wall_ms,
+            former.row.unix_ms + int(since_ms * (1 + MAX_CLOCK_DRIFT_RATIO)),
+        )
 
-    def _is_complete(self, recovery: Recovery) -> bool:
-        """Return whether all that can be known is known and journaled here."""
-        if recovery.opened_at is None:
+    def _is_complete(self, recovery: RecoveryProgress) -> bool:
+        """Return whether everything recoverable is recovered and journaled."""
+        if recovery.ready_at is None:
             return False
-        expired = self.timers.now() - recovery.opened_at > self.keep_seconds
-        known = not recovery.unheard() or expired
-        return known and self.journal.complete_ms > recovery.found_at * 1000
+        retention_over = self.timers.now() - recovery.ready_at > self.keep_seconds
+        recovered = not recovery.unreported_agents() or retention_over
+        return (
+            recovered
+            and self.journal.journaled_through_ms > recovery.last_record_at * 1000
+        )
 
-    async def _clear_doubt(self, recovery: Recovery) -> bool:
-        """Mark the ranges as known; return whether none is doubtful any more."""
+    async def _clear_doubtful_marks(self, recovery: RecoveryProgress) -> bool:
+        """Clear the ranges' doubtful marks; return whether there were none."""
         writes = []
-        for range_id, epoch in recovery.inheritance.ranges.items():
+        for range_id, epoch in recovery.taken_over.ranges.items():
             seen = self.view.owner(range_id)
-            if seen is None or seen.row.owner != self.ownership.me:
+            if seen is None or seen.row.owner != self.ownership.entry_id:
                 continue
             if seen.row.epoch == epoch and seen.row.doubtful:
                 row = RangeRow(seen.row.owner, epoch)
--- a/bergamotcourse/coordination/status.py
+++ b/bergamotcourse/coordination/status.py
@@ -150,7 +150,7 @@
         PeerStatus(
             id=name,
             zone=seen.row.zone,
-            alive=entry.view.alive(name),
+            alive=entry.view.is_alive(name),
             config_version=versions.get(LinkAddress(seen.row.address)) or None,
         )
         for name, seen in sorted(entry.view.leases.items())
--- a/bergamotcourse/coordination/submissions.py
+++ b/bergamotcourse/coordination/submissions.py
@@ -7,11 +7,11 @@
 from expression import Result
 
 from bergamotcourse.coordination.admission import Refusal
-from bergamotcourse.coordination.claimant import Claimant, ClaimRequest, Proof
+from bergamotcourse.coordination.claimant import Claimant, ClaimRequest, NotStartedProof
 from bergamotcourse.coordination.dispatcher import Dispatcher
 from bergamotcourse.coordination.joining import (
     CONFLICT,
-    STILL_RUNS,
+    STILL_RUNNING,
     Completed,
     Joiner,
     Refused,
@@ -86,7 +86,7 @@
         self.nursery: trio.Nursery | None = None
         self.joining: dict[bytes, Joining] = {}
         self.on_granted: Callable[[Submission], None] = lambda _submission: None
-        dispatcher.may_start = claimant.holds
+        dispatcher.may_start = claimant.permits_start
         dispatcher.renew = self._renew_grant
         dispatcher.fenced_out = claimant.fenced_out
 
@@ -114,7 +114,7 @@
         while submission.id in self.joining:
             decided = self.joining[submission.id].decided
             if not await self._wait_until(decided, submission.deadline):
-                return STILL_RUNS
+                return STILL_RUNNING
         known = self.answers.get(submission.id)
         if known is not None:
             return await self._join_local(submission, known)
@@ -159,7 +159,7 @@
         if not isinstance(reply, Joined):
             return Refused(reply.outcome, reply.detail)
         left = deadline - self.timers.now()
-        match await self.joiner.ask(reply, submission_id, b"", left):
+        match await self.joiner.request_answer(reply, submission_id, b"", left):
             case Result(tag="ok", ok=Answer(known=True, running=False, results=done)):
                 return Completed(done)
             case Result(tag="ok", ok=Answer(known=True)):
@@ -217,7 +217,7 @@
         if known.digest != submission.digest:
             return CONFLICT
         if not await self._wait_until(known.final, submission.deadline):
-            return STILL_RUNS
+            return STILL_RUNNING
         return Completed(known.results)
 
     async def _claim_and_run(
@@ -245,7 +245,7 @@
                     return Refused(reply.outcome, reply.detail, reply.conflict, seconds)
                 case Joined():
                     answer = await self.joiner.join(submission, reply)
-                    if not isinstance(answer, Proof):
+                    if not isinstance(answer, NotStartedProof):
                         return answer
                     proof = answer
         return Refused(Outcome.UNKNOWN, NOT_PROVED, retry_after=1.0)
@@ -266,11 +266,11 @@
         """Tell the owner the outcome, and keep the answer if there is one."""
         outcome = overall(submission.results)
         if _may_run_elsewhere(submission.results):
-            if not await self.claimant.confirm_finished(submission, outcome):
+            if not await self.claimant.confirm_outcome(submission, outcome):
                 _withdraw_not_run(submission)
                 outcome = overall(submission.results)
         else:
-            self.claimant.finished(submission, outcome)
+            self.claimant.report_outcome(submission, outcome)
         if outcome is Outcome.NOT_RUN:
             # May run under the next attempt: nothing to keep for those who come again.
             self.answers.drop(submission.id)
@@ -285,7 +285,7 @@
     async def _renew(self, submission: Submission) -> None:
         """Claim again what is held, or take the answer of who has the claim now."""
         held = submission.grant
-        await self.claimant.look_for_owner(held)
+        await self.claimant.refresh_fenced_owner(held)
         proof = None
         for _ in range(MOST_PROOFS):
             request = ClaimRequest(
@@ -306,7 +306,7 @@
                     self.dispatcher.abandon(submission, detail, outcome)
                     return
             match await self.joiner.join(submission, reply):
-                case Proof() as proof:
+                case NotStartedProof() as proof:
                     continue
                 case Completed(results=results):
                     self.dispatcher.adopt(submission, results)
--- a/bergamotcourse/coordination/takeover.py
+++ b/bergamotcourse/coordination/takeover.py
@@ -1,7 +1,8 @@
-"""Taking over the ranges of an entry whose lease has ended.
+"""Takeover of the ranges of an entry whose lease has ended.
 
 One transaction marks the dead entry's lease as fenced and raises the epochs of its
-ranges. What the dead entry had granted is then found out, see ``range_recovery``.
+ranges. The claims that the dead entry had granted are then recovered, see
+``range_recovery``.
 """
 
 import logging
@@ -11,14 +12,18 @@
 from expression import Result
 
 from bergamotcourse.coordination.lease import (
-    AUTONOMY_SECONDS,
-    DRIFT_SHARE,
+    MAX_AUTONOMY_SECONDS,
+    MAX_CLOCK_DRIFT_RATIO,
     Lease,
     LeaseState,
 )
-from bergamotcourse.coordination.lease_view import LeaseSeen, LeaseView, RangeSeen
+from bergamotcourse.coordination.lease_view import (
+    LeaseView,
+    ObservedLease,
+    ObservedRange,
+)
 from bergamotcourse.coordination.ownership import Ownership
-from bergamotcourse.coordination.range_recovery import Inheritance, RangeRecovery
+from bergamotcourse.coordination.range_recovery import RangeRecovery, TakenOverRanges
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import Epoch, RangeId
 from bergamotcourse.protocol.platform import Committed, Conflict, Platform, Write
@@ -26,33 +31,35 @@
 
 logger = logging.getLogger(__name__)
 
-ORPHAN_LEASES = 3.0
-"""A lease that no one else can take over is an orphan after so many."""
+ORPHAN_LEASE_PERIODS = 3.0
+"""Lease periods of silence after which a lease that no one can take over is an
+orphan."""
 
-ORPHAN_SECONDS = AUTONOMY_SECONDS * (1 + DRIFT_SHARE)
-"""An entry that is silent for so long lives on no promise any more."""
+AUTONOMY_EXPIRY_SECONDS = MAX_AUTONOMY_SECONDS * (1 + MAX_CLOCK_DRIFT_RATIO)
+"""Silence after which no promise can extend an entry's lease any more."""
 
 
 @dataclass(frozen=True)
-class Begun:
-    """A takeover that was begun.
+class StartedTakeover:
+    """A takeover that was started and may have taken effect.
 
     Attributes:
-        version: Of the lease's row that is written over.
+        version: Version of the lease row that it overwrites.
+        lease_end: How the lease had ended.
     """
 
     version: int
-    ended: "Ended"
+    lease_end: "LeaseEnd"
 
 
 @dataclass(frozen=True)
-class Ended:
-    """Why a lease has ended.
+class LeaseEnd:
+    """How a lease has ended.
 
     Attributes:
-        grants_seconds: For so long its grants may still be used.
-        strict: It may yet live on promises: no agent may be left that admits its
-            starts.
+        grants_seconds: Time for which its grants may still be used.
+        strict: Promises may still extend the lease, so the ranges become ready only
+            once no agent admits its starts.
     """
 
     grants_seconds: float = 0.0
@@ -60,11 +67,11 @@
 
 
 class Takeover:
-    """Watches the other entries' leases, and takes over.
+    """Watches the other entries' leases and takes over those that have ended.
 
     Attributes:
-        promised: Seconds until which each entry was promised no takeover.
-        taking: Takeovers that were begun, by entry.
+        promised_until: Until when each entry was promised no takeover, in seconds.
+        started_takeovers: Takeovers that were started, by entry.
     """
 
     def __init__(
@@ -82,30 +89,31 @@
         self.recovery = recovery
         self.platform = platform
         self.timers = timers
-        self.promised: dict[str, float] = {}
-        self.taking: dict[str, Begun] = {}
+        self.promised_until: dict[str, float] = {}
+        self.started_takeovers: dict[str, StartedTakeover] = {}
 
     def promise(self, entry: str) -> int:
-        """Promise an entry not to take over; return for how many milliseconds.
+        """Promise an entry not to take it over and return for how many milliseconds.
 
-        Zero where this entry is not the successor, does not hold its own lease, or
-        has begun to take over: also a takeover whose answer was lost is begun.
+        Returns 0 if this entry is not the successor, does not hold a valid lease
+        itself, or has started a takeover. A takeover whose answer was lost counts as
+        started.
         """
         now = self.timers.now()
         seen = self.view.leases.get(entry)
         if seen is None or seen.row.successor != self.lease.entry:
             return 0
-        begun = self.taking.get(entry)
-        if begun is not None and begun.version >= seen.version:
+        started = self.started_takeovers.get(entry)
+        if started is not None and started.version >= seen.version:
             return 0
         if seen.row.fenced_by or not self.lease.valid(now):
             return 0
         seconds = self.lease.seconds
-        self.promised[entry] = now + seconds * (1 + DRIFT_SHARE)
+        self.promised_until[entry] = now + seconds * (1 + MAX_CLOCK_DRIFT_RATIO)
         return int(seconds * 1000)
 
     async def watch(self) -> None:
-        """Take over whose lease has ended; go on with what was taken over."""
+        """Take over entries whose leases have ended, and advance the recoveries."""
         if self.lease.state is not LeaseState.HELD:
             return
         now = self.timers.now()
@@ -113,59 +121,64 @@
             for entry, seen in list(self.view.leases.items()):
                 if entry == self.lease.entry or seen.row.fenced_by:
                     continue
-                ended = self._ended(entry, seen, now)
-                if ended is not None:
-                    await self._take_over(entry, seen, ended)
-            await self._take_stragglers()
-            self._inherit()
+                lease_end = self._lease_end(entry, seen, now)
+                if lease_end is not None:
+                    await self._take_over(entry, seen, lease_end)
+            await self._take_over_late_ranges()
+            self._start_recoveries()
         await self.recovery.watch()
 
     @property
-    def lease_end(self) -> float:
-        """Seconds without a change after which a lease has ended for certain."""
-        return self.lease.seconds * (1 + DRIFT_SHARE)
+    def lease_expiry_seconds(self) -> float:
+        """Return the seconds without a renewal after which a lease has expired."""
+        return self.lease.seconds * (1 + MAX_CLOCK_DRIFT_RATIO)
 
     def _view_is_current(self, now: float) -> bool:
-        last_read = self.view.last_read
-        return last_read is not None and now - last_read <= self.lease.seconds
+        last_refresh = self.view.last_refresh
+        return last_refresh is not None and now - last_refresh <= self.lease.seconds
 
-    def _ended(self, entry: str, seen: LeaseSeen, now: float) -> Ended | None:
-        """Return why a lease has ended, if this entry may take it over."""
+    def _lease_end(
+        self, entry: str, seen: ObservedLease, now: float
+    ) -> LeaseEnd | None:
+        """Return how a lease has ended; ``None`` if it may not be taken over here."""
         row = seen.row
         if row.address == self.lease.mailer.link.address:
-            # An earlier process of this place: this one has its address now.
-            return Ended(self.lease.seconds)
+            # Belongs to an earlier process, whose address this process now has.
+            return LeaseEnd(self.lease.seconds)
         if row.released:
-            falls_here = self.ownership.may_inherit(entry)
-            return Ended(self.lease.seconds) if falls_here else None
-        if now < self.promised.get(entry, 0.0):
+            is_assigned = self.ownership.is_fallback_successor_of(entry)
+            return LeaseEnd(self.lease.seconds) if is_assigned else None
+        if now < self.promised_until.get(entry, 0.0):
             return None
-        if now - seen.unchanged_since <= self.lease_end:
+        if now - seen.unchanged_since <= self.lease_expiry_seconds:
             return None
         if self._is_successor(entry, row, now):
-            return Ended()
-        if self._is_orphan(entry, now) and self.ownership.may_inherit(entry):
+            return LeaseEnd()
+        if self._is_orphan(entry, now) and self.ownership.is_fallback_successor_of(
+            entry
+        ):
             silent = now - seen.unchanged_since
-            return Ended(strict=silent < ORPHAN_SECONDS)
+            return LeaseEnd(strict=silent < AUTONOMY_EXPIRY_SECONDS)
         return None
 
     def _is_successor(self, entry: str, row: LeaseRow, now: float) -> bool:
         if row.successor == self.lease.entry:
             return True
         if not row.successor:
-            # No one could promise anything: the lease ended at its time.
-            return self.ownership.may_inherit(entry)
-        # Who has taken over the successor inherits its duty, once the promises that
-        # the successor may have made have run out.
+            # Without a successor there were no promises, so the lease expired on time.
+            return self.ownership.is_fallback_successor_of(entry)
+        # The entry that took over the successor replaces it once any promises that the
+        # successor may have made have expired.
         successor = self.view.leases.get(row.successor)
         if successor is None or successor.row.fenced_by != self.lease.entry:
             return False
-        return now - successor.unchanged_since > 2 * self.lease_end
+        return now - successor.unchanged_since > 2 * self.lease_expiry_seconds
 
     def _is_orphan(self, entry: str, now: float) -> bool:
-        """Return whether a lease has ended and no successor is left to take over.
+        """Return whether a lease has ended and no successor is left to take it over.
 
-        Follows the successors: all must have been silent for several leases.
+        Follows the chain of successors, all of which must have been silent for
+        ``ORPHAN_LEASE_PERIODS``.
         """
         followed = set()
         name = entry
@@ -174,47 +187,57 @@
             seen = self.view.leases.get(name)
             if seen is None:
                 return True
-            if now - seen.unchanged_since <= ORPHAN_LEASES * self.lease_end:
+            if (
+                now - seen.unchanged_since
+                <= ORPHAN_LEASE_PERIODS * self.lease_expiry_seconds
+            ):
                 return False
             name = seen.row.fenced_by or seen.row.successor
         return True
 
-    async def _take_over(self, entry: str, seen: LeaseSeen, ended: Ended) -> None:
-        # Stays begun while the answer is lost: the write may take effect later.
-        self.taking[entry] = Begun(seen.version, ended)
+    async def _take_over(
+        self, entry: str, seen: ObservedLease, lease_end: LeaseEnd
+    ) -> None:
+        # Kept if the answer is lost, because the write may take effect later.
+        self.started_takeovers[entry] = StartedTakeover(seen.version, lease_end)
         fenced = msgspec.structs.replace(seen.row, fenced_by=self.lease.entry)
         write = Write(lease_key(entry), msgspec.json.encode(fenced), seen.version)
         owned = {r: s for r, s in self.view.ranges.items() if s.row.owner == entry}
-        writes = [write, *self._range_writes(owned, ended.strict)]
-        result = await self.platform.transact([*writes, self._own_lease()])
+        writes = [write, *self._range_writes(owned, lease_end.strict)]
+        result = await self.platform.transact([*writes, self._own_lease_check()])
         match result:
             case Result(tag="ok", ok=Committed()):
                 logger.warning("took over %d ranges of %s", len(owned), entry)
             case Result(tag="ok", ok=Conflict()):
-                self.taking.pop(entry, None)
+                self.started_takeovers.pop(entry, None)
             case Result(error=error) if error.took_effect is False:
-                self.taking.pop(entry, None)
+                self.started_takeovers.pop(entry, None)
         await self.view.refresh()
 
-    async def _take_stragglers(self) -> None:
-        """Take ranges that a fenced entry made just before it was fenced."""
+    async def _take_over_late_ranges(self) -> None:
+        """Take over ranges that a fenced entry created just before it was fenced."""
         owned = {
             range_id: seen
             for range_id, seen in self.view.ranges.items()
             if seen.row.owner != self.lease.entry
-            and self.view.heir(seen.row.owner) == self.lease.entry
+            and self.view.final_successor(seen.row.owner) == self.lease.entry
         }
         if owned:
             writes = self._range_writes(owned, strict=False)
-            await self.platform.transact([*writes, self._own_lease()])
+            await self.platform.transact([*writes, self._own_lease_check()])
             await self.view.refresh()
 
-    def _own_lease(self) -> Write:
-        """Check that this entry was not itself taken over: two might do it at once."""
+    def _own_lease_check(self) -> Write:
+        """Return a check that this entry was not taken over itself.
+
+        It prevents two entries from taking over each other.
+        """
         key = lease_key(self.lease.entry)
         return Write(key, None, self.lease.version, check_only=True)
 
-    def _range_writes(self, owned: dict[int, RangeSeen], strict: bool) -> list[Write]:
+    def _range_writes(
+        self, owned: dict[int, ObservedRange], strict: bool
+    ) -> list[Write]:
         writes = []
         for range_id, seen in owned.items():
             former = seen.row
@@ -229,10 +252,10 @@
             writes.append(Write(range_key(range_id), content, seen.version))
         return writes
 
-    def _inherit(self) -> None:
-        """Begin to recover the ranges that the platform shows as taken over.
+    def _start_recoveries(self) -> None:
+        """Start recovering the ranges that the table shows as taken over.
 
-        The table tells, not the answer to the transaction, which may be lost.
+        The table is used because the answer to the transaction may be lost.
         """
         new: dict[str, dict[RangeId, RangeRow]] = {}
         for range_id, seen in self.view.ranges.items():
@@ -241,23 +264,27 @@
             if mine and RangeId(range_id) not in self.ownership.owned:
                 new.setdefault(row.former, {})[RangeId(range_id)] = row
         for former, rows in new.items():
-            self.recovery.begin(self._inheritance(former, rows))
-
-    def _inheritance(self, former: str, rows: dict[RangeId, RangeRow]) -> Inheritance:
-        begun = self.taking.get(former)
-        dead = [*self.view.fenced_under(former), former]
-        return Inheritance(
+            self.recovery.begin(self._taken_over_ranges(former, rows))
+
+    def _taken_over_ranges(
+        self, former: str, rows: dict[RangeId, RangeRow]
+    ) -> TakenOverRanges:
+        started = self.started_takeovers.get(former)
+        dead = [*self.view.transitively_fenced_by(former), former]
+        return TakenOverRanges(
             former=former,
-            dead={e: self.view.leases[e] for e in dead if e in self.view.leases},
+            dead_leases={e: self.view.leases[e] for e in dead if e in self.view.leases},
             ranges={range_id: Epoch(row.epoch) for range_id, row in rows.items()},
-            grants_seconds=begun.ended.grants_seconds if begun else self.lease.seconds,
-            strict_seconds=ORPHAN_SECONDS if _any_strict(rows) else 0.0,
+            grants_seconds=started.lease_end.grants_seconds
+            if started
+            else self.lease.seconds,
+            strict_seconds=AUTONOMY_EXPIRY_SECONDS if _any_strict(rows) else 0.0,
         )
 
     def forget(self, entry: str) -> None:
-        """Forget an entry whose rows are gone."""
-        self.taking.pop(entry, None)
-        self.promised.pop(entry, None)
+        """Drop the state kept for an entry whose rows were removed."""
+        self.started_takeovers.pop(entry, None)
+        self.promised_until.pop(entry, None)
 
 
 def _any_strict(rows: dict[RangeId, RangeRow]) -> bool:
--- a/bergamotcourse/coordination/remains.py
+++ b/bergamotcourse/coordination/takeover_cleanup.py
@@ -1,9 +1,9 @@
-"""Removing the rows of entries that are gone, once no one needs them.
+"""Removal of the rows of entries that were taken over, once they are not needed.
 
-Without this the table would grow with each process that ever was an entry. The rows of
-an entry that was taken over are removed by its heir, after all that it had granted is
-in the heir's own journal. A range under which keys were handed out ends when all of
-its keys are too old.
+Without it the table would grow with every entry process ever started. The rows of an
+entry are removed by the entry that took it over, after everything that it had granted
+is in that entry's own journal. A taken-over home range is removed when all keys handed
+out under it exceed the retention period.
 """
 
 from bergamotcourse.coordination.lease_view import LeaseView
@@ -20,11 +20,15 @@
     range_key,
 )
 
-MOST_DELETED_AT_ONCE = 50
+MAX_DELETIONS_PER_TRANSACTION = 50
 
 
-class Remains:
-    """Removes what is left of entries that this one has taken over."""
+class TakeoverCleanup:
+    """Removes the rows of entries that this entry has taken over.
+
+    Attributes:
+        keep_seconds: Retention period of submissions.
+    """
 
     def __init__(
         self,
@@ -45,20 +49,22 @@
         self.keep_seconds = keep_seconds
 
     async def watch(self) -> None:
-        """Remove what is not needed any more, one entry and one range at a time."""
-        if not self.ownership.lease.unquestioned(self.timers.now()):
+        """Remove rows that are not needed any more, at most one entry and one range."""
+        if not self.ownership.lease.is_confirmed(self.timers.now()):
             return
-        await self._end_old_range()
+        await self._remove_expired_range()
         for entry, seen in self.view.leases.items():
-            if seen.row.fenced_by and self._is_over(entry):
+            if seen.row.fenced_by and self._is_removable(entry):
                 await self._remove(entry, seen.version)
                 return
 
-    def _is_over(self, entry: str) -> bool:
-        me = self.ownership.me
-        if self.view.heir(entry) != me or self.recovery.concerns(entry):
+    def _is_removable(self, entry: str) -> bool:
+        own_id = self.ownership.entry_id
+        if self.view.final_successor(entry) != own_id or self.recovery.needs_rows_of(
+            entry
+        ):
             return False
-        if self.view.fenced_under(entry):
+        if self.view.transitively_fenced_by(entry):
             return False
         rows = self.view.ranges.values()
         if any(entry in (one.row.owner, one.row.former) for one in rows):
@@ -73,26 +79,26 @@
         if journal.is_error():
             return
         keys = [row.key for row in journal.ok.rows if row.value is not None]
-        for begin in range(0, len(keys), MOST_DELETED_AT_ONCE):
-            batch = keys[begin : begin + MOST_DELETED_AT_ONCE]
+        for begin in range(0, len(keys), MAX_DELETIONS_PER_TRANSACTION):
+            batch = keys[begin : begin + MAX_DELETIONS_PER_TRANSACTION]
             deletions = [Write(key, None, None) for key in batch]
             if (await self.platform.transact(deletions)).is_error():
                 return
         await self.platform.transact([Write(lease_key(entry), None, version)])
         self.takeover.forget(entry)
 
-    async def _end_old_range(self) -> None:
+    async def _remove_expired_range(self) -> None:
         now = self.timers.now()
         for range_id, owned in self.ownership.owned.items():
             inherited = range_id >= HASHED_RANGES and owned.epoch > FIRST_EPOCH
             seen = self.view.owner(range_id)
             if not inherited or seen is None or seen.row.doubtful:
                 continue
-            if now - owned.since > self.keep_seconds:
-                await self._end_range(range_id, seen.version)
+            if now - owned.granting_since > self.keep_seconds:
+                await self._remove_range(range_id, seen.version)
                 return
 
-    async def _end_range(self, range_id: RangeId, version: int) -> None:
+    async def _remove_range(self, range_id: RangeId, version: int) -> None:
         result = await self.platform.transact(
             [Write(range_key(range_id), None, version)]
         )
--- a/bergamotcourse/daemons/agent.py
+++ b/bergamotcourse/daemons/agent.py
@@ -68,7 +68,7 @@
         )
 
         async def register() -> None:
-            registration.offer(agent.upstreams.services())
+            registration.set_services(agent.upstreams.services())
             await registration.watch()
             agent.first = bool(registration.first)
             if registration.registered and not agent.start_log.opened:
--- a/bergamotcourse/tests/coordination/test_hostile_messages.py
+++ b/bergamotcourse/tests/coordination/test_hostile_messages.py
@@ -25,33 +25,33 @@
 MESSAGES = 400
 
 
-def any_value(kind, rng):
-    """A random value of a type, valid for the codec and for nothing else."""
+def random_value(kind, rng):
+    """Return a random value of a type, valid for the codec but otherwise senseless."""
     args = typing.get_args(kind)
     if kind in SCALARS:
         return rng.choice(SCALARS[kind])
     if typing.get_origin(kind) is list:
-        return [any_value(args[0], rng) for _ in range(rng.randrange(3))]
+        return [random_value(args[0], rng) for _ in range(rng.randrange(3))]
     if typing.get_origin(kind) is tuple and args[-1] is Ellipsis:
-        return tuple(any_value(args[0], rng) for _ in range(rng.randrange(3)))
+        return tuple(random_value(args[0], rng) for _ in range(rng.randrange(3)))
     if typing.get_origin(kind) is tuple:
-        return tuple(any_value(one, rng) for one in args)
+        return tuple(random_value(one, rng) for one in args)
     if args:
-        return any_value(rng.choice(args), rng)
+        return random_value(rng.choice(args), rng)
     kind = getattr(kind, "__supertype__", kind)
     if kind in SCALARS:
         return rng.choice(SCALARS[kind])
     if issubclass(kind, Enum):
         return rng.choice(list(kind))
     hints = typing.get_type_hints(kind)
-    return kind(**{name: any_value(hint, rng) for name, hint in hints.items()})
+    return kind(**{name: random_value(hint, rng) for name, hint in hints.items()})
 
 
 class TestHostileMessages:
-    """Envelopes that decode and make no sense: work goes on, nothing fails."""
+    """Envelopes that decode but make no sense must not disturb any process."""
 
     @pytest.mark.parametrize("seed", [1, 2])
-    def test_disturb_neither_entries_nor_agents(self, seed):
+    def test_random_messages_do_not_stop_entries_or_agents(self, seed):
         rng = random.Random(seed)
         kinds = typing.get_args(messages.AnyMessage)
 
@@ -61,8 +61,8 @@
                 await fleet.start()
                 targets = [fleet.entries["entry-1"], fleet.agents["agent-1"]]
                 for number in range(MESSAGES):
-                    message = any_value(rng.choice(kinds), rng)
-                    # These two are orders that an agent has to follow.
+                    message = random_value(rng.choice(kinds), rng)
+                    # These two are valid orders that an agent must obey.
                     if not isinstance(message, messages.Fence | messages.Bar):
                         await send(rng, rng.choice(targets), message)
                     if number % 40 == 0:
--- a/bergamotcourse/tests/coordination/test_journal.py
+++ b/bergamotcourse/tests/coordination/test_journal.py
@@ -33,36 +33,36 @@
 
 
 class TestJournal:
-    def test_who_loses_patience_loses_no_record(self):
+    def test_timed_out_write_loses_no_record(self):
         async def main():
             journal, platform = make_journal(delay=4.0)
-            journal.note(b"a")
+            journal.enqueue(b"a")
             assert not await journal.write_now(b"b")
-            assert journal.complete_ms == 0
+            assert journal.journaled_through_ms == 0
             platform.faults.delay = 0.0
             await journal.flush()
             assert await journaled(journal) == {b"a", b"b"}
-            assert journal.complete_ms > 0
+            assert journal.journaled_through_ms > 0
 
         run(main)
 
-    def test_a_row_that_is_there_already_is_not_taken_for_written(self):
+    def test_conflicting_row_does_not_count_as_written(self):
         async def main():
             journal, platform = make_journal()
             await platform.transact([Write(journal_key(ENTRY, 0), b"", ABSENT)])
-            journal.note(b"a")
+            journal.enqueue(b"a")
             await trio.sleep(1)
             await journal.flush()
-            assert journal.complete_ms == 0
-            assert b"a" in journal.waiting
+            assert journal.journaled_through_ms == 0
+            assert b"a" in journal.pending
 
         run(main)
 
-    def test_while_the_platform_is_away_no_one_waits(self):
+    def test_write_now_returns_at_once_while_platform_unavailable(self):
         async def main():
             journal, platform = make_journal(down=True)
             await journal.flush()
-            journal.note(b"a")
+            journal.enqueue(b"a")
             await journal.flush()
             began = trio.current_time()
             assert not await journal.write_now(b"b")
@@ -72,20 +72,20 @@
 
 
 class TestFlush:
-    def test_what_comes_during_a_flush_waits_for_the_next(self):
+    def test_record_added_during_flush_is_left_for_next_flush(self):
         async def main():
             journal, platform = make_journal(delay=0.01)
-            journal.note(b"a")
+            journal.enqueue(b"a")
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(journal.flush)
                 await trio.sleep(0.005)
-                journal.note(b"b")
-            assert (journal.writes, list(journal.waiting)) == (1, [b"b"])
+                journal.enqueue(b"b")
+            assert (journal.writes, list(journal.pending)) == (1, [b"b"])
             assert await journaled(journal) == {b"a"}
 
         run(main)
 
-    def test_those_who_wait_share_a_write(self):
+    def test_concurrent_writers_share_a_write(self):
         callers, rounds = 10, 20
 
         async def call(journal, caller):
@@ -102,17 +102,17 @@
 
         run(main)
 
-    def test_rows_kept_long_enough_are_deleted(self):
+    def test_rows_past_retention_are_deleted(self):
         async def main():
             journal, platform = make_journal()
             for _ in range(3):
-                journal.note(b"a")
+                journal.enqueue(b"a")
                 await journal.flush()
                 await trio.sleep(50)
-            assert [number for number, _ in journal.written] == [0, 1, 2]
-            journal.note(b"b")
+            assert [number for number, _ in journal.written_rows] == [0, 1, 2]
+            journal.enqueue(b"b")
             await journal.flush()
-            assert [number for number, _ in journal.written] == [1, 2, 3]
+            assert [number for number, _ in journal.written_rows] == [1, 2, 3]
             assert await journaled(journal) == {b"a", b"b"}
 
         run(main)
--- a/bergamotcourse/tests/coordination/test_superseded_agents.py
+++ b/bergamotcourse/tests/coordination/test_superseded_agents.py
@@ -10,9 +10,9 @@
 
 
 class TestSupersededAgent:
-    """Two processes of one name: the one that the platform's row names is the agent."""
+    """The platform's row decides which of two processes of one name is the agent."""
 
-    def test_the_former_one_does_not_take_its_place_back(self):
+    def test_state_of_superseded_process_is_ignored_and_detached(self):
         posted = []
 
         async def main():
--- a/bergamotcourse/tests/coordination/test_takeover.py
+++ b/bergamotcourse/tests/coordination/test_takeover.py
@@ -1,7 +1,7 @@
 import msgspec
 import trio
 
-from bergamotcourse.coordination.takeover import Ended
+from bergamotcourse.coordination.takeover import LeaseEnd
 from bergamotcourse.state.lease_rows import LeaseRow, lease_key
 from bergamotcourse.virtual.clock import run_virtual
 from bergamotcourse.virtual.fleet import FleetShape, VirtualFleet
@@ -29,11 +29,11 @@
 
 async def take_over(entry, other):
     seen = entry.view.leases[other]
-    await entry.takeover._take_over(other, seen, Ended())
+    await entry.takeover._take_over(other, seen, LeaseEnd())
 
 
 class TestTakeover:
-    def test_of_two_entries_only_one_takes_over_the_other(self):
+    def test_two_entries_do_not_take_over_each_other(self):
         async def test(fleet, one, other):
             names = one.id, other.id
             await one.view.refresh()
@@ -45,7 +45,7 @@
 
         run_fleet(test)
 
-    def test_no_promise_once_a_takeover_may_have_taken_effect(self):
+    def test_no_promise_while_takeover_may_have_taken_effect(self):
         async def test(fleet, one, other):
             assert lease_row(fleet, other.id).successor == one.id
             assert one.takeover.promise(other.id) > 0
@@ -60,7 +60,7 @@
 
 
 class TestRelease:
-    def test_a_late_release_leaves_the_mark_of_the_takeover(self):
+    def test_late_release_keeps_fencing_mark(self):
         async def test(fleet, one, other):
             name = other.id
             await one.view.refresh()
@@ -71,21 +71,21 @@
 
         run_fleet(test)
 
-    def test_nothing_is_granted_after_it(self):
+    def test_late_renewal_does_not_revalidate_ended_lease(self):
         async def test(fleet, one, other):
             lease = other.lease
             assert lease.valid(other.timers.now())
             lease.end()
-            lease._renewed(other.timers.now(), lease.version, "")
+            lease._record_renewal(other.timers.now(), lease.version, "")
             assert not lease.valid(other.timers.now())
 
         run_fleet(test)
 
 
-class TestRows:
-    """What is left of entries that are gone goes, once no one needs it."""
+class TestTakeoverCleanup:
+    """Rows of entries that were taken over are removed once they are not needed."""
 
-    def test_the_table_does_not_grow_with_each_restart(self):
+    def test_restarts_do_not_grow_the_table(self):
         async def main():
             async with trio.open_nursery() as nursery:
                 shape = FleetShape(
@@ -115,8 +115,8 @@
         assert sizes[0] == sizes[1] == sizes[2]
 
 
-class TestAgentsEpochs:
-    def test_a_new_agent_process_knows_the_epochs_that_its_former_one_did(self):
+class TestEpochsOfRestartedAgent:
+    def test_restarted_agent_loads_epochs_before_opening_start_log(self):
         async def test(fleet, one, other):
             name = other.id
             await one.view.refresh()
@@ -126,8 +126,8 @@
             assert not agent.start_log.opened
             await trio.sleep(1)
             assert agent.start_log.opened
-            taken = [r for r, s in one.view.ranges.items() if s.row.former == name]
-            assert taken
-            assert all(agent.start_log.epochs[r] == 2 for r in taken)
+            taken_over = [r for r, s in one.view.ranges.items() if s.row.former == name]
+            assert taken_over
+            assert all(agent.start_log.epochs[r] == 2 for r in taken_over)
 
         run_fleet(test)
--- a/bergamotcourse/tests/scenarios/test_mutations.py
+++ b/bergamotcourse/tests/scenarios/test_mutations.py
@@ -8,7 +8,7 @@
 from bergamotcourse.coordination import answer_recovery
 from bergamotcourse.coordination.claims import ClaimService
 from bergamotcourse.coordination.journal import Journal
-from bergamotcourse.coordination.key_doubts import KeyDoubts
+from bergamotcourse.coordination.key_checks import KeyChecker
 from bergamotcourse.coordination.lease import Lease, LeaseState
 from bergamotcourse.scenarios.parser import parse
 from bergamotcourse.scenarios.runner import run_scenario
@@ -39,13 +39,13 @@
 
 def no_join(monkeypatch):
     def granted_anew(self, sender, claim, owned, record):
-        return self._record(sender, claim, owned, record.attempt + 1)
+        return self._create_record(sender, claim, owned, record.attempt + 1)
 
-    monkeypatch.setattr(ClaimService, "_known", granted_anew)
+    monkeypatch.setattr(ClaimService, "_decide_known_key", granted_anew)
 
 
 def no_doubt(monkeypatch):
-    monkeypatch.setattr(KeyDoubts, "is_suspect", lambda *_: False)
+    monkeypatch.setattr(KeyChecker, "may_miss_grants", lambda *_: False)
 
 
 def no_journal_replay(monkeypatch):
@@ -56,7 +56,7 @@
 
 
 def no_check_of_agents_memory(monkeypatch):
-    monkeypatch.setattr(answer_recovery, "_remembers", lambda *_: True)
+    monkeypatch.setattr(answer_recovery, "_log_covers_claim", lambda *_: True)
 
 
 def no_end_of_lease(monkeypatch):
@@ -68,9 +68,9 @@
 
 def no_need_of_a_promise(monkeypatch):
     async def assume(self):
-        self.promise_until = FAR
+        self.promise_valid_until = FAR
 
-    monkeypatch.setattr(Lease, "_seek_promises", assume)
+    monkeypatch.setattr(Lease, "_request_promises", assume)
 
 
 MUTATIONS = [
--- a/bergamotcourse/virtual/processes.py
+++ b/bergamotcourse/virtual/processes.py
@@ -167,7 +167,7 @@
         )
 
     async def _register(self) -> None:
-        self.registration.offer(self.agent.upstreams.services())
+        self.registration.set_services(self.agent.upstreams.services())
         await self.registration.watch()
         self.agent.first = bool(self.registration.first)
         log = self.agent.start_log
