--- a/bergamotcourse/coordination/jobs/agent_links.py
+++ b/bergamotcourse/coordination/jobs/agent_links.py
@@ -123,7 +123,7 @@
         share = self.order.share()
         choices = Choices()
         for number, link in enumerate(links):
-            if self.zones.has(link.zone):
+            if self.zones.is_evacuated(link.zone):
                 continue
             if link.is_usable(now):
                 (choices.near if number < share else choices.further).append(link)
@@ -134,7 +134,7 @@
 
     def available(self) -> list[AgentLink]:
         """Return all agents at which a run may be placed."""
-        return [link for link in self.known() if not self.zones.has(link.zone)]
+        return [link for link in self.known() if not self.zones.is_evacuated(link.zone)]
 
     def known(self) -> list[AgentLink]:
         """Return all agents that are in contact or can be, evacuated ones too."""
--- a/bergamotcourse/coordination/jobs/contacts.py
+++ b/bergamotcourse/coordination/jobs/contacts.py
@@ -158,7 +158,7 @@
     # What entries send.
 
     def _zones_changed(self) -> None:
-        self.executor.set_evacuated(self.zones.has(self.zone))
+        self.executor.set_evacuated(self.zones.is_evacuated(self.zone))
         self.tell_all()
 
     def _take_greeting(self, sender: LinkAddress, greeting: Hello) -> None:
--- a/bergamotcourse/coordination/jobs/evacuated_zones.py
+++ b/bergamotcourse/coordination/jobs/evacuated_zones.py
@@ -1,4 +1,4 @@
-"""The evacuated availability zones, as this process knows them."""
+"""The evacuated availability zones that are known to this process."""
 
 from collections.abc import Callable
 
@@ -7,11 +7,11 @@
 
 
 class EvacuatedZones:
-    """The newest word on which zones are evacuated; it only moves forward.
+    """The newest known set of evacuated zones; older versions are ignored.
 
     Attributes:
-        latest: The word in force.
-        on_change: Called after other zones are evacuated than before.
+        latest: The set in force.
+        on_change: Called after the set of zones has changed.
     """
 
     def __init__(self, log: EventLog):
@@ -19,18 +19,26 @@
         self.latest = Evacuations()
         self.on_change: Callable[[], None] = lambda: None
 
-    def has(self, zone: str) -> bool:
+    def is_evacuated(self, zone: str) -> bool:
         """Return whether a zone is evacuated."""
         return zone in self.latest.zones
 
-    def adopt(self, word: Evacuations, source: str) -> None:
-        """Put a word in force if it is newer."""
-        if word.version <= self.latest.version:
+    def adopt(self, evacuations: Evacuations, source: str) -> None:
+        """Put a set of evacuated zones in force if its version is newer.
+
+        Args:
+            evacuations: The set.
+            source: Where it was received from, for the log.
+        """
+        if evacuations.version <= self.latest.version:
             return
-        former, self.latest = self.latest, word
-        if word.zones == former.zones:
+        former, self.latest = self.latest, evacuations
+        if evacuations.zones == former.zones:
             return
         self.log.write(
-            "zones.evacuated", zones=word.zones, version=word.version, source=source
+            "zones.evacuated",
+            zones=evacuations.zones,
+            version=evacuations.version,
+            source=source,
         )
         self.on_change()
--- a/bergamotcourse/coordination/jobs/job_dispatcher.py
+++ b/bergamotcourse/coordination/jobs/job_dispatcher.py
@@ -1,4 +1,4 @@
-"""The entry's dispatcher of jobs: takes them, places their tasks, settles them."""
+"""The entry's job dispatcher: admits jobs, places their tasks, returns outcomes."""
 
 from collections import Counter
 from dataclasses import replace
@@ -8,7 +8,10 @@
 from bergamotcourse.coordination.event_log import EventLog
 from bergamotcourse.coordination.jobs.agent_link import AgentLink
 from bergamotcourse.coordination.jobs.agent_links import AgentLinks, Choices
-from bergamotcourse.coordination.jobs.job_order import order_key, refusal_at_once
+from bergamotcourse.coordination.jobs.job_order import (
+    dispatch_order_key,
+    immediate_refusal,
+)
 from bergamotcourse.coordination.jobs.job_run import (
     JobOutcome,
     JobRun,
@@ -17,9 +20,9 @@
 )
 from bergamotcourse.coordination.jobs.placement import (
     PlacementRequest,
-    choose,
-    choose_to_open,
-    suits,
+    can_accept_task,
+    choose_in_contact,
+    choose_without_contact,
 )
 from bergamotcourse.coordination.jobs.policy import JobPolicy
 from bergamotcourse.coordination.jobs.rack_demand import RackDemand
@@ -34,36 +37,39 @@
 from bergamotcourse.state.job_spec import JobId, JobQueue, JobSpec
 from bergamotcourse.state.node_settings import REMOTE_FACTOR
 
-ANSWER_SECONDS = 0.06
-"""Left of a caller's time for the answer's way back."""
+RESPONSE_MARGIN_SECONDS = 0.06
+"""Part of a caller's timeout that is reserved for sending the response."""
 
 NEVER = float("inf")
 
-PATIENCE_MS = 15
-"""A run that finds no room after all comes back after this: two entries may have
-counted on the same room, and there may be some elsewhere."""
+AGENT_QUEUE_TIMEOUT_MS = 15
+"""How long an agent may queue a run that has no room there before it returns the run.
+Two entries may have counted on the same room, and another agent may have some."""
 
-LOOK_AHEAD = 4
-"""Waiting jobs that find no room before the search ends. What has no room for the tasks
-of one may have some for smaller ones, or for those whose data is elsewhere."""
+MAX_BLOCKED_JOBS = 4
+"""Waiting jobs that may find no room before a placement round ends. Agents without room
+for the tasks of one job may have room for smaller ones, or for those with data in
+another rack."""
 
-MOST_CRASHES = 3
-"""Upstreams that crash under a task before it is given up: with one or two the cause
-may have been another task beside it."""
+MAX_UPSTREAM_CRASHES = 3
+"""Upstream crashes during runs of a task after which its job fails. After one or two
+crashes the cause may still be another task that ran on the same upstream."""
 
-REFUSAL_SECONDS = 1.0
-"""Callers who were refused for want of room may come back after this."""
+NO_ROOM_RETRY_SECONDS = 1.0
+"""``Retry-After`` of a job that is refused because no agent had room in time."""
 
 
 class JobDispatcher:
-    """Takes jobs and sees each to its outcome.
+    """Admits jobs, places their tasks on agents and determines each job's outcome.
 
     Attributes:
-        jobs: Those without an outcome, by id.
-        waiting: Those with tasks that are to be placed.
-        outcomes: Counts by outcome.
-        ends_at: When this entry ends, once a planned stop has begun.
-        remote_factor: Times as long that a task takes away from its data.
+        jobs: Admitted jobs that still have callers, by id.
+        waiting: Jobs with tasks that are ready to be placed.
+        outcomes: Number of jobs by outcome.
+        had_waiting_jobs: Jobs were still waiting after the last placement round.
+        ends_at: Time at which this entry exits, once a planned stop has begun.
+        remote_factor: Run time of a task outside the rack with its data, as a multiple
+            of its run time inside.
     """
 
     def __init__(
@@ -77,7 +83,7 @@
     ):
         self.policy = policy or JobPolicy()
         self.remote_factor = remote_factor
-        self.racks = RackDemand()
+        self.rack_demand = RackDemand()
         self.zone = zone
         self.links = links
         self.timers = timers
@@ -86,121 +92,134 @@
         self.waiting: list[JobRun] = []
         self.estimates = WorkEstimates()
         self.outcomes: Counter[JobOutcome] = Counter()
-        self.was_waiting = False
-        self.began = timers.now()
+        self.had_waiting_jobs = False
+        self.started_at = timers.now()
         self.ends_at = NEVER
-        links.on_end = self.take_end
-        links.on_settled = self.pump
-        links.on_room = self.take_room
+        links.on_end = self.handle_run_outcome
+        links.on_settled = self.place_waiting_jobs
+        links.on_room = self.handle_agent_load
         links.is_waiting = self.is_waiting
 
     def is_waiting(self) -> bool:
-        """Return whether tasks wait for room."""
+        """Return whether jobs have tasks that wait for room."""
         return bool(self.waiting)
 
     def pending_jobs(self, queue: str) -> int:
-        """Return the number of jobs of a queue none of whose tasks was placed."""
+        """Return the number of jobs of a queue of which no task can have started."""
         return sum(
             job.queue.name == queue and not job.may_have_run
             for job in self.jobs.values()
         )
 
     async def submit(self, spec: JobSpec, queue: JobQueue, seconds: float) -> JobRun:
-        """Run a job to its outcome.
+        """Run a job until it has an outcome.
+
+        A job whose id is already known is not admitted again; the call waits for the
+        outcome of the known job. When the last call for a job is cancelled, the job is
+        withdrawn.
 
         Args:
             spec: The job.
             queue: Its queue.
-            seconds: For how long the caller waits for the answer.
+            seconds: Seconds for which the caller waits for the response.
 
         Returns:
-            The job with its outcome. Cancelling the call withdraws the job.
+            The job with its outcome.
         """
         job = self.jobs.get(spec.id)
         if job is None:
-            job = self._take(spec, queue, seconds)
+            job = self._admit(spec, queue, seconds)
         job.callers += 1
         try:
-            await self._see_to_its_end(job, seconds - ANSWER_SECONDS)
+            await self._await_outcome(job, seconds - RESPONSE_MARGIN_SECONDS)
         finally:
             job.callers -= 1
             if not job.callers:
-                self._settle(job)
+                self._remove_job(job)
         return job
 
     def cancel(self, job_id: JobId) -> bool:
-        """Cancel a job; false if it is not known."""
+        """Cancel a job; return false if it is not known."""
         job = self.jobs.get(job_id)
         if job is None:
             return False
         job.finish(JobOutcome.CANCELLED, "cancelled by its caller")
-        self._withdraw(job)
+        self._withdraw_tasks(job)
         return True
 
-    def give_up_all(self, why: str) -> None:
-        """Give all jobs an outcome, before this process ends."""
+    def abandon_all_jobs(self, why: str) -> None:
+        """Set an outcome for every job without one, before this process exits.
+
+        Jobs that may have run time out; all others are refused.
+        """
         for job in list(self.jobs.values()):
             outcome = JobOutcome.TIMED_OUT if job.may_have_run else JobOutcome.REFUSED
             job.finish(outcome, why)
 
-    def pump(self) -> None:
-        """Place what finds room, in order."""
-        # One that has its outcome stays here until its caller's task runs next; to
-        # place it would start what its caller is told has not run.
+    def place_waiting_jobs(self) -> None:
+        """Place tasks of waiting jobs on agents with room, in dispatch order.
+
+        Then refuse the jobs that have waited too long.
+        """
+        # A job with an outcome stays in the list until the task of its caller runs.
+        # Placing it would start a job that is reported to its caller as not run.
         self.waiting = [job for job in self.waiting if job.outcome is None]
         if not self.waiting:
             return
         now = self.timers.now()
         choices = self.links.choices()
         if self.policy.puts_urgent_first:
-            self.waiting.sort(key=lambda job: order_key(job, now))
+            self.waiting.sort(key=lambda job: dispatch_order_key(job, now))
         blocked = 0
         for job in list(self.waiting):
-            blocked += not self._place_pending(job, choices, now)
-            if blocked > LOOK_AHEAD:
+            blocked += not self._place_pending_tasks(job, choices, now)
+            if blocked > MAX_BLOCKED_JOBS:
                 break
-        # Only now: one whose placement came back may have found room elsewhere.
+        # Not before the placement: a job whose run was returned by an agent may have
+        # found room on another one just now.
         for job in list(self.waiting):
-            self._refuse_if_idle(job)
-        if self.waiting and not self.was_waiting:
+            self._refuse_if_placement_overdue(job)
+        if self.waiting and not self.had_waiting_jobs:
             self.links.tell_all()
-        self.was_waiting = bool(self.waiting)
+        self.had_waiting_jobs = bool(self.waiting)
 
-    def take_room(self, link: AgentLink) -> None:
-        """Place what waits, if an agent that has told its load has room.
+    def handle_agent_load(self, link: AgentLink) -> None:
+        """Place waiting jobs if an agent that has reported its load has free CPU.
 
-        All agents are looked at only then, not for each message of any one.
+        The check avoids examining all agents for each message of any agent.
         """
         if self.waiting and link.room.capacity.cpu > link.load_cpu():
-            self.pump()
+            self.place_waiting_jobs()
 
-    def take_evacuations(self) -> None:
-        """Tell agents of evacuations; refuse what only evacuated zones could run."""
+    def handle_evacuations(self) -> None:
+        """Notify agents of evacuations; refuse jobs that no remaining zone can run."""
         self.links.tell_all()
         for job in self.waiting:
             if not job.may_have_run:
-                self._refuse_if_hopeless(job, NEVER)
-        self.pump()
+                self._refuse_if_unservable(job, NEVER)
+        self.place_waiting_jobs()
 
-    def take_end(self, task: TaskRun, link: AgentLink, ended: TaskEnded) -> None:
-        """Take the outcome of a run."""
+    def handle_run_outcome(
+        self, task: TaskRun, link: AgentLink, ended: TaskEnded
+    ) -> None:
+        """Apply the outcome of a run to its task and job."""
         job = task.job
         if ended.outcome in NEVER_RAN:
-            job.runs -= 1
-        current = task.state is TaskState.PLACED and task.key == ended.key
+            job.possible_runs -= 1
+        is_current = task.state is TaskState.PLACED and task.key == ended.key
         if job.outcome is not None or task.state is TaskState.DONE:
             return
         if ended.outcome is Outcome.DONE:
             if self.policy.learns_estimates:
-                declared = task.spec.estimate * self._factor_of(task)
-                self.estimates.learn(job.queue.name, declared, ended.ran)
-            self._task_done(job, task)
+                declared = task.spec.estimate * self._remote_factor_of(task)
+                self.estimates.record_run_time(job.queue.name, declared, ended.ran)
+            self._complete_task(job, task)
             return
         if ended.outcome in (Outcome.FAILED, Outcome.MOVED, Outcome.CRASHED):
             task.avoid.add(link.name)
         if ended.outcome is Outcome.CRASHED:
             task.crashes += 1
-            if task.crashes >= MOST_CRASHES:
+            if task.crashes >= MAX_UPSTREAM_CRASHES:
                 why = f"{task.crashes} upstreams crashed under {task.name}"
                 job.finish(JobOutcome.FAILED, why)
                 return
@@ -211,19 +230,19 @@
                     JobOutcome.FAILED, f"{task.name} failed {task.failures} times"
                 )
                 return
-        if current:
-            self._place_again(job, task, ended)
+        if is_current:
+            self._requeue_task(job, task, ended)
 
-    # Taking and settling.
+    # Admission and outcomes of jobs.
 
-    def _take(self, spec: JobSpec, queue: JobQueue, seconds: float) -> JobRun:
+    def _admit(self, spec: JobSpec, queue: JobQueue, seconds: float) -> JobRun:
         factor = self.estimates.factor(queue.name)
         job = JobRun(spec, queue, self.timers.now(), factor)
         self.jobs[spec.id] = job
         self.waiting.append(job)
         for step in spec.steps:
             if step.data_rack:
-                self.racks.note(step.data_rack, job.arrived)
+                self.rack_demand.record_request(step.data_rack, job.arrived)
         self.log.write(
             "job.taken",
             request=spec.id,
@@ -232,44 +251,46 @@
             objective_ms=round(job.objective * 1000),
             waits_ms=round(seconds * 1000),
         )
-        self._refuse_if_hopeless(job, min(seconds, self.ends_at - job.arrived))
+        self._refuse_if_unservable(job, min(seconds, self.ends_at - job.arrived))
         if job.outcome is None:
-            self.pump()
+            self.place_waiting_jobs()
         return job
 
-    def _refuse_if_hopeless(self, job: JobRun, left: float) -> None:
+    def _refuse_if_unservable(self, job: JobRun, seconds_left: float) -> None:
         """Refuse a job that certainly cannot be served.
 
         Args:
-            job: A job of which nothing was placed.
-            left: Seconds until its caller leaves, or this entry ends.
+            job: A job of which no task can have started.
+            seconds_left: Seconds until its caller times out or this entry exits.
         """
-        age = self.timers.now() - self.began
-        refusal = refusal_at_once(job, self.links.available(), age, left)
+        entry_age = self.timers.now() - self.started_at
+        refusal = immediate_refusal(
+            job, self.links.available(), entry_age, seconds_left
+        )
         if refusal is not None:
             job.retry_after = refusal.retry_after
             job.finish(JobOutcome.REFUSED, refusal.why)
 
-    async def _see_to_its_end(self, job: JobRun, seconds: float) -> None:
+    async def _await_outcome(self, job: JobRun, seconds: float) -> None:
         now = self.timers.now()
-        give_up = min(now + seconds, job.useless_at)
-        offer_by = min(job.offer_by, give_up)
-        with trio.move_on_after(max(0.0, offer_by - now)):
+        outcome_deadline = min(now + seconds, job.abandon_at)
+        placement_deadline = min(job.placement_deadline, outcome_deadline)
+        with trio.move_on_after(max(0.0, placement_deadline - now)):
             await job.finished.wait()
-        self._refuse_if_idle(job)
-        with trio.move_on_after(max(0.0, give_up - self.timers.now())):
+        self._refuse_if_placement_overdue(job)
+        with trio.move_on_after(max(0.0, outcome_deadline - self.timers.now())):
             await job.finished.wait()
         if job.outcome is None:
             job.finish(JobOutcome.TIMED_OUT, "not done in time")
 
-    def _refuse_if_idle(self, job: JobRun) -> None:
-        """Refuse a job that has found no room in its time; nothing of it ever ran."""
-        if not job.may_have_run and self.timers.now() >= job.offer_by:
-            job.retry_after = max(job.retry_after, REFUSAL_SECONDS)
+    def _refuse_if_placement_overdue(self, job: JobRun) -> None:
+        """Refuse a job past its placement deadline if no task can have started."""
+        if not job.may_have_run and self.timers.now() >= job.placement_deadline:
+            job.retry_after = max(job.retry_after, NO_ROOM_RETRY_SECONDS)
             job.finish(JobOutcome.REFUSED, "no room in time")
 
-    def _settle(self, job: JobRun) -> None:
-        """Forget a job that nobody waits for, and end what still runs of it."""
+    def _remove_job(self, job: JobRun) -> None:
+        """Remove a job that has no callers left, and withdraw its placed tasks."""
         if self.jobs.get(job.spec.id) is job:
             del self.jobs[job.spec.id]
             job.finish(JobOutcome.CANCELLED, "its caller has gone")
@@ -281,104 +302,111 @@
                 why=job.why,
                 took_ms=round((self.timers.now() - job.arrived) * 1000),
             )
-        self._withdraw(job)
+        self._withdraw_tasks(job)
 
-    def _withdraw(self, job: JobRun) -> None:
+    def _withdraw_tasks(self, job: JobRun) -> None:
         if job in self.waiting:
             self.waiting.remove(job)
         for task in job.tasks:
             if task.state is TaskState.PLACED:
                 task.state = TaskState.DONE
-                self.links.withdraw(task.where, task.key)
+                self.links.withdraw(task.link, task.key)
 
-    # Tasks.
+    # Placement and outcomes of tasks.
 
-    def _place_pending(self, job: JobRun, choices: Choices, now: float) -> bool:
-        """Place the tasks of a job; false if one finds no room."""
+    def _place_pending_tasks(self, job: JobRun, choices: Choices, now: float) -> bool:
+        """Place the pending tasks of a job; return false once one finds no room."""
         link = None
-        for task in job.pending():
-            link = self._choose(job, task, choices, now, link)
+        for task in job.pending_tasks():
+            link = self._choose_agent(job, task, choices, now, link)
             if link is None:
                 return False
-            self._place(job, task, link, now)
+            self._place_task(job, task, link, now)
         self.waiting.remove(job)
         return True
 
-    def _choose(
+    def _choose_agent(
         self,
         job: JobRun,
         task: TaskRun,
         choices: Choices,
         now: float,
-        last: AgentLink | None,
+        previous: AgentLink | None,
     ) -> AgentLink | None:
-        """Return the agent to place a task at, or ``None`` where none has room.
+        """Return the agent to place a task on, or ``None`` if none has room.
 
         Args:
             job: The job.
             task: Its task.
-            choices: The agents at which it may be placed.
+            choices: The agents on which it may be placed.
             now: The time.
-            last: Where the task of the job before it was placed just now.
+            previous: The agent on which the previous task of the job was placed in this
+                round.
         """
         request = PlacementRequest(
             service=job.queue.service,
             step=task.spec,
             avoid=frozenset(task.avoid),
             zone=self.zone,
-            reserved=self.racks.wanted(now),
+            reserved=self.rack_demand.racks_in_demand(now),
         )
-        near = task.spec.data_rack if self.policy.places_near_data else ""
-        nearby = replace(request, rack=near) if near else request
-        if self.policy.keeps_jobs_together and last and suits(last, nearby):
-            # One message carries both, and the payload once.
-            return last
-        link = self._choose_anywhere(nearby, choices)
-        if not near:
+        local_rack = task.spec.data_rack if self.policy.places_near_data else ""
+        local_request = replace(request, rack=local_rack) if local_rack else request
+        if (
+            self.policy.keeps_jobs_together
+            and previous
+            and can_accept_task(previous, local_request)
+        ):
+            # One message then carries both tasks, and the payload only once.
+            return previous
+        link = self._choose_retrying_avoided(local_request, choices)
+        if not local_rack:
             return link
-        if link is None and job.may_run_away(now, self.remote_factor):
-            link = self._choose_anywhere(request, choices)
+        if link is None and job.may_run_remotely(now, self.remote_factor):
+            link = self._choose_retrying_avoided(request, choices)
         return link
 
-    def _choose_anywhere(
+    def _choose_retrying_avoided(
         self, request: PlacementRequest, choices: Choices
     ) -> AgentLink | None:
-        link = self._choose_for(request, choices)
+        link = self._choose_by_group(request, choices)
         if link is None and request.avoid:
-            # Where it failed everywhere, it is tried anywhere.
-            link = self._choose_for(replace(request, avoid=frozenset()), choices)
+            # All other agents lack room or have failed the task as well.
+            link = self._choose_by_group(replace(request, avoid=frozenset()), choices)
         return link
 
-    def _choose_for(
+    def _choose_by_group(
         self, request: PlacementRequest, choices: Choices
     ) -> AgentLink | None:
-        for in_contact, quiet in choices.in_turn():
-            link = choose(in_contact, request)
+        for in_contact, without_contact in choices.in_turn():
+            link = choose_in_contact(in_contact, request)
             if link is not None:
                 return link
-            link = choose_to_open(quiet, request)
+            link = choose_without_contact(without_contact, request)
             if link is not None:
-                # The next tasks share the exchange that gives contact.
-                quiet.remove(link)
+                # The next tasks share the message exchange that establishes contact.
+                without_contact.remove(link)
                 in_contact.append(link)
                 return link
         return None
 
-    def _place(self, job: JobRun, task: TaskRun, link: AgentLink, now: float) -> None:
+    def _place_task(
+        self, job: JobRun, task: TaskRun, link: AgentLink, now: float
+    ) -> None:
         task.number += 1
         task.state = TaskState.PLACED
-        task.where = link
+        task.link = link
         task.placed_at = now
-        near = task.spec.data_rack
-        task.away = bool(near) and near not in link.room.labels
+        local_rack = task.spec.data_rack
+        task.is_remote = bool(local_rack) and local_rack not in link.room.labels
         order = PlaceTask(
             key=task.key,
             request=job.spec.id,
             payload=job.spec.payload,
             needs=task.spec.needs,
             rank=round((job.start_by - now) * 1000),
-            estimate=task.spec.estimate * job.factor * self._factor_of(task),
-            patience=PATIENCE_MS,
+            estimate=task.spec.estimate * job.factor * self._remote_factor_of(task),
+            patience=AGENT_QUEUE_TIMEOUT_MS,
         )
         self.links.place(link, order, task.spec.needs, task)
         self.log.write(
@@ -387,19 +415,19 @@
             task=task.name,
             run=task.number,
             agent=link.name,
-            away=task.away,
+            away=task.is_remote,
             free_cpu=link.free().cpu,
             heard_ms=round((now - link.heard_at) * 1000),
             waited_ms=round((now - job.arrived) * 1000),
         )
-        job.runs += 1
+        job.possible_runs += 1
 
-    def _factor_of(self, task: TaskRun) -> float:
-        return self.remote_factor if task.away else 1.0
+    def _remote_factor_of(self, task: TaskRun) -> float:
+        return self.remote_factor if task.is_remote else 1.0
 
-    def _place_again(self, job: JobRun, task: TaskRun, ended: TaskEnded) -> None:
+    def _requeue_task(self, job: JobRun, task: TaskRun, ended: TaskEnded) -> None:
         task.state = TaskState.PENDING
-        task.where = None
+        task.link = None
         self.log.write(
             "task.again",
             request=job.spec.id,
@@ -411,16 +439,16 @@
         if job.outcome is None and job not in self.waiting:
             self.waiting.append(job)
 
-    def _task_done(self, job: JobRun, task: TaskRun) -> None:
-        if task.state is TaskState.PLACED and task.where is not None:
-            self._end_other_run(task)
-        job.task_done(task)
-        if not job.unfinished:
+    def _complete_task(self, job: JobRun, task: TaskRun) -> None:
+        if task.state is TaskState.PLACED and task.link is not None:
+            self._withdraw_redundant_run(task)
+        job.complete_task(task)
+        if not job.unfinished_tasks:
             job.finish(JobOutcome.SUCCEEDED)
-        elif job.pending() and job not in self.waiting:
+        elif job.pending_tasks() and job not in self.waiting:
             self.waiting.append(job)
 
-    def _end_other_run(self, task: TaskRun) -> None:
-        """End a later run of a task of which an earlier one turned out done."""
-        if task.key in task.where.placed:
-            self.links.withdraw(task.where, task.key)
+    def _withdraw_redundant_run(self, task: TaskRun) -> None:
+        """Withdraw a later run of a task whose earlier run has completed after all."""
+        if task.key in task.link.placed:
+            self.links.withdraw(task.link, task.key)
--- a/bergamotcourse/coordination/jobs/job_order.py
+++ b/bergamotcourse/coordination/jobs/job_order.py
@@ -1,8 +1,8 @@
-"""Which waiting job goes first, and which is refused at once: decisions alone.
+"""Dispatch order of waiting jobs, and immediate refusals; pure decisions without I/O.
 
-Under more load than the upstreams can carry, jobs that can still be in time
-go by the moment at which their work must begin, so short jobs with little time pass
-long ones that can wait; jobs that can only be late go behind all of these.
+Jobs that can still finish in time are ordered by the latest time at which their work
+must start. Under overload, short jobs with little slack therefore overtake long jobs
+that can wait. Jobs that can only finish late come after all of these.
 """
 
 from dataclasses import dataclass
@@ -10,47 +10,49 @@
 from bergamotcourse.coordination.jobs.agent_link import AgentLink
 from bergamotcourse.coordination.jobs.job_run import JobRun
 
-LEAST_SHARE = 0.5
-"""Share of a job's work for which there must be time: declared times are off by 40%."""
+MIN_WORK_SHARE = 0.5
+"""Share of a job's estimated work that must fit into the time left. Declared times are
+off by 40%, so a job that does not fit entirely may still finish in time."""
 
-LEARNING_SECONDS = 4.0
-"""An entry that began no longer ago may learn of upstreams any moment: after a loss of
-all processes they come back within two seconds."""
+DISCOVERY_SECONDS = 4.0
+"""Time after its start in which an entry may still discover upstreams, and so does not
+refuse jobs for lack of them. After a loss of all processes, upstreams are back within
+two seconds."""
 
 RETRY_SECONDS = 1.0
-"""Callers may come back after this; the shortest that the header can say."""
+"""``Retry-After`` of a refusal; the smallest value that the header can express."""
 
 
 @dataclass(frozen=True)
 class Refusal:
-    """Why a job is not taken, and after how many seconds it may come again."""
+    """Why a job is refused, and the seconds after which its caller may retry."""
 
     why: str
     retry_after: float
 
 
-def order_key(job: JobRun, now: float) -> tuple[bool, float]:
-    """Return the place of a job among those that wait: the least goes first."""
+def dispatch_order_key(job: JobRun, now: float) -> tuple[bool, float]:
+    """Return the sort key of a waiting job; the smallest key is placed first."""
     is_late = now > job.start_by
     return (is_late and not job.may_have_run, job.start_by)
 
 
-def refusal_at_once(
-    job: JobRun, links: list[AgentLink], age: float, left: float
+def immediate_refusal(
+    job: JobRun, links: list[AgentLink], entry_age: float, seconds_left: float
 ) -> Refusal | None:
-    """Return why a job that has just come is refused, or ``None``.
+    """Return the refusal of a job that certainly cannot be served, or ``None``.
 
     Args:
-        job: The job.
+        job: A job of which no task can have started.
         links: The agents that may get tasks.
-        age: Seconds since this entry began.
-        left: Seconds until its caller leaves, or this entry ends.
+        entry_age: Seconds since this entry started.
+        seconds_left: Seconds until its caller times out or this entry exits.
     """
-    if left < LEAST_SHARE * job.work:
+    if seconds_left < MIN_WORK_SHARE * job.work:
         return Refusal("it cannot be done in the time that is left", RETRY_SECONDS)
     serving = [link for link in links if link.room.service == job.queue.service]
     serving = [link for link in serving if link.room.capacity.cpu]
-    if not serving and age < LEARNING_SECONDS:
+    if not serving and entry_age < DISCOVERY_SECONDS:
         return None
     if not serving:
         return Refusal("no upstream of the service is known", RETRY_SECONDS)
@@ -60,7 +62,7 @@
 
 
 def can_ever_run(job: JobRun, step, links: list[AgentLink]) -> bool:
-    """Return whether some upstream could run a task of a step when empty and sound."""
+    """Return whether some upstream, if idle and healthy, could run a task of a step."""
     return any(
         step.needs.fits(link.largest)
         and (not step.label or step.label in link.room.labels)
--- a/bergamotcourse/coordination/jobs/job_run.py
+++ b/bergamotcourse/coordination/jobs/job_run.py
@@ -1,4 +1,4 @@
-"""A job at the entry that took it: its tasks, their runs, and its times."""
+"""State of a job at the entry that admitted it: tasks, runs and deadlines."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -9,17 +9,17 @@
 from bergamotcourse.state.job_spec import JobQueue, JobSpec, StepSpec, TaskName
 
 LATE_FACTOR = 3.0
-"""A job that takes longer than so many times its objective is of no use to its caller
-(the users' rule for what counts as late)."""
+"""A result that takes longer than this multiple of the job's objective is of no use to
+the caller, by the users' rule for late results."""
 
-ESTIMATE_ERROR = 2.0
-"""A job's work may be so many times what was declared, which is off by 40% as a rule;
-to give up sooner would end jobs that are in time."""
+ESTIMATE_ERROR_FACTOR = 2.0
+"""Bound on actual over declared work. Declarations are commonly off by 40%; a smaller
+bound would abandon jobs that are in time."""
 
-OFFER_SHARE = 0.35
-"""Share of the time to spare that a job may wait before its first task is placed: with
-less, jobs are refused that could be in time; with more, callers wait longer for a
-refusal, and those who waited longest are late all the same."""
+PLACEMENT_WAIT_SHARE = 0.35
+"""Share of a job's slack for which it may wait until its first task is placed. With a
+smaller share, jobs are refused that could be in time. With a larger one, callers wait
+longer for a refusal, and the jobs that waited longest are late anyway."""
 
 
 class JobOutcome(Enum):
@@ -28,13 +28,13 @@
     SUCCEEDED = "succeeded"
     FAILED = "failed"
     REFUSED = "refused"
-    """No task of it was placed, and none will be."""
+    """No task of the job has started, and none will."""
     TIMED_OUT = "timed out"
     CANCELLED = "cancelled"
 
 
 class TaskState(Enum):
-    """Where a task stands."""
+    """The state of a task."""
 
     BLOCKED = "blocked"
     PENDING = "pending"
@@ -47,13 +47,13 @@
     """One task of a job.
 
     Attributes:
-        number: Of its last run.
-        failures: Runs that ended by failure.
-        crashes: Runs during which their upstream crashed.
-        avoid: Names of agents where it failed.
-        where: The link to the agent of its last run, while that is placed.
-        placed_at: When that run was placed.
-        away: That run is not in the rack that has its data.
+        number: Number of its last run; 0 before the first.
+        failures: Runs that reported a failure.
+        crashes: Runs during which the upstream crashed.
+        avoid: Names of the agents on which a run failed, was moved or crashed.
+        link: Link to the agent of the last run, while that run is placed.
+        placed_at: Time at which that run was placed.
+        is_remote: That run is outside the rack that has its data.
     """
 
     job: "JobRun"
@@ -64,9 +64,9 @@
     failures: int = 0
     crashes: int = 0
     avoid: set[str] = field(default_factory=set)
-    where: object | None = None
+    link: object | None = None
     placed_at: float = 0.0
-    away: bool = False
+    is_remote: bool = False
 
     @property
     def spec(self) -> StepSpec:
@@ -75,20 +75,23 @@
 
     @property
     def key(self) -> RunKey:
-        """Return the key of its last run."""
+        """Return the key of the last run."""
         return RunKey(self.name, self.number)
 
 
 class JobRun:
-    """One job that an entry has taken.
+    """One job that an entry has admitted.
 
     Attributes:
-        factor: How many times longer than declared its tasks take, as learnt.
-        work: Seconds of its longest chain of steps, corrected by the factor.
-        objective: Seconds within which its caller wants it done.
-        runs: Placed runs that may have started.
-        finished: Set with the outcome.
-        retry_after: Seconds for a caller who was refused.
+        arrived: Time of admission.
+        factor: Correction of the declared task times that was learnt for the queue.
+        work: Seconds of the longest chain of dependent steps, corrected by ``factor``.
+        objective: Target latency of the job in seconds.
+        unfinished_tasks: Number of tasks that are not done.
+        possible_runs: Number of placed runs that may have started.
+        finished: Set together with the outcome.
+        retry_after: Seconds after which the caller of a refused job may retry.
+        callers: Number of calls that wait for the outcome.
     """
 
     def __init__(
@@ -98,11 +101,11 @@
         self.queue = queue
         self.arrived = arrived
         self.factor = factor
-        self.work = longest_chain(spec.steps) * factor
+        self.work = critical_path_seconds(spec.steps) * factor
         self.objective = queue.objective(self.work)
         self.tasks = make_tasks(self)
-        self.unfinished = len(self.tasks)
-        self.runs = 0
+        self.unfinished_tasks = len(self.tasks)
+        self.possible_runs = 0
         self.finished = trio.Event()
         self.outcome: JobOutcome | None = None
         self.why = ""
@@ -112,39 +115,47 @@
     @property
     def may_have_run(self) -> bool:
         """Return whether a task may have started."""
-        return self.runs > 0
+        return self.possible_runs > 0
 
     @property
     def start_by(self) -> float:
-        """Return when its work must begin for it to be in time."""
+        """Return the latest time at which the work can start and still be in time."""
         return self.arrived + self.objective - self.work
 
     @property
-    def offer_by(self) -> float:
-        """Return when its first task must be placed, or it is refused."""
-        return self.arrived + OFFER_SHARE * max(0.0, self.objective - self.work)
+    def placement_deadline(self) -> float:
+        """Return the time at which the job is refused unless a task is placed."""
+        return self.arrived + PLACEMENT_WAIT_SHARE * max(
+            0.0, self.objective - self.work
+        )
 
     @property
-    def useless_at(self) -> float:
-        """Return from when on its answer is certainly of no use."""
-        return self.arrived + LATE_FACTOR * ESTIMATE_ERROR * self.objective
+    def abandon_at(self) -> float:
+        """Return the time after which the result is certainly of no use."""
+        return self.arrived + LATE_FACTOR * ESTIMATE_ERROR_FACTOR * self.objective
 
-    def may_run_away(self, now: float, remote_factor: float) -> bool:
-        """Return whether a task need not wait for room near its data.
+    def may_run_remotely(self, now: float, remote_factor: float) -> bool:
+        """Return whether tasks may run outside the rack that has their data.
 
-        Away from it the job can be in time too, or it cannot be in time anywhere.
+        That is so if the job can be in time there too, or cannot be in time anywhere.
+
+        Args:
+            now: The time.
+            remote_factor: Factor by which run times grow outside the rack.
         """
-        away_in_time = now + self.work * remote_factor <= self.arrived + self.objective
-        return away_in_time or now > self.start_by
+        remote_in_time = (
+            now + self.work * remote_factor <= self.arrived + self.objective
+        )
+        return remote_in_time or now > self.start_by
 
-    def pending(self) -> list[TaskRun]:
-        """Return the tasks that are to be placed."""
+    def pending_tasks(self) -> list[TaskRun]:
+        """Return the tasks that are ready to be placed."""
         return [task for task in self.tasks if task.state is TaskState.PENDING]
 
-    def task_done(self, task: TaskRun) -> None:
-        """Note the end of a task, and release the steps that waited for it."""
+    def complete_task(self, task: TaskRun) -> None:
+        """Mark a task as done, and unblock the steps that only waited for it."""
         task.state = TaskState.DONE
-        self.unfinished -= 1
+        self.unfinished_tasks -= 1
         done = {
             index
             for index in range(len(self.spec.steps))
@@ -155,7 +166,7 @@
                 other.state = TaskState.PENDING
 
     def finish(self, outcome: JobOutcome, why: str = "") -> None:
-        """Set the outcome, unless there is one."""
+        """Set the outcome, unless the job already has one."""
         if self.outcome is None:
             self.outcome = outcome
             self.why = why
@@ -173,8 +184,8 @@
     return tasks
 
 
-def longest_chain(steps: tuple[StepSpec, ...]) -> float:
-    """Return the seconds of the longest chain of steps that wait for each other."""
+def critical_path_seconds(steps: tuple[StepSpec, ...]) -> float:
+    """Return the estimated seconds of the longest chain of dependent steps."""
     ends: list[float] = []
     for step in steps:
         begins = max((ends[index] for index in step.after), default=0.0)
--- a/bergamotcourse/coordination/jobs/job_service.py
+++ b/bergamotcourse/coordination/jobs/job_service.py
@@ -1,4 +1,4 @@
-"""What an entry answers its callers about jobs, apart from how they ask."""
+"""The entry's job operations, independent of the protocol that callers use."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,16 +10,16 @@
 from bergamotcourse.coordination.jobs.queues_in_force import QueuesInForce
 from bergamotcourse.state.job_spec import JobId, JobQueue, JobSpec
 
-UNSERVED_RETRY_SECONDS = 1.0
-"""For callers of a kind of job that is not served here."""
+UNSUPPORTED_RETRY_SECONDS = 1.0
+"""``Retry-After`` for a kind of job that is not supported."""
 
-SHORT_RETRY_SECONDS = 1.0
-"""For callers of an entry that is short of processor time; the shortest that the header
-can say, as the balancer may send them to another entry."""
+OVERLOAD_RETRY_SECONDS = 1.0
+"""``Retry-After`` of an entry that is short of processor time. It is the smallest value
+that the header can express, as the balancer may send a retry to another entry."""
 
 
 class JobState(Enum):
-    """The state of a job whose outcome is open."""
+    """The state of a job without an outcome."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -27,11 +27,12 @@
 
 @dataclass(frozen=True)
 class JobAnswer:
-    """The answer to a caller that handed a job in.
+    """The response to a caller that submitted a job.
 
     Attributes:
-        outcome: ``None`` where the id belongs to another job that is running.
-        retry_after: Seconds for a caller who was refused.
+        outcome: ``None`` if a different job with the same id is running.
+        why: Reason of the outcome, for the caller.
+        retry_after: Seconds after which the caller of a refused job may retry.
     """
 
     outcome: JobOutcome | None
@@ -40,7 +41,7 @@
 
 
 class JobService:
-    """Takes jobs into the queues in force."""
+    """Submits, inspects and cancels jobs of the configured queues."""
 
     def __init__(
         self,
@@ -59,30 +60,31 @@
         return self.queues.table is not None
 
     def find_queue(self, host: str, path: str) -> JobQueue | None:
-        """Return the queue of a path; the log tells where there is none."""
+        """Return the queue that a path belongs to; log the request if there is none."""
         queue = self.queues.table.find(host, path)
         if queue is None:
             self.log.write("request.no_queue", path=path, version=self.queues.version)
         return queue
 
-    def turn_away(self, job_id: JobId) -> JobAnswer | None:
-        """Return the refusal of a job that is not even decoded, or ``None``.
+    def refuse_if_overloaded(self, job_id: JobId) -> JobAnswer | None:
+        """Return the refusal of a job that has not been decoded yet, or ``None``.
 
-        A job that is known here is not turned away: it may have begun.
+        Under a shortage of processor time a share of the jobs is refused. A job that
+        is known here is not refused, because it may have started.
         """
         if job_id in self.jobs.jobs or not self.processor.turns_away():
             return None
         why = "this entry is short of processor time"
         lag_ms = round(self.processor.lag * 1000)
         self.log.write("job.refused", request=job_id, why=why, lag_ms=lag_ms)
-        return JobAnswer(JobOutcome.REFUSED, why, SHORT_RETRY_SECONDS)
+        return JobAnswer(JobOutcome.REFUSED, why, OVERLOAD_RETRY_SECONDS)
 
     async def submit(self, spec: JobSpec, queue: JobQueue, seconds: float) -> JobAnswer:
         """Run a job to its outcome, or refuse it; see ``JobDispatcher.submit``."""
-        refusal = self._refusal(spec)
+        refusal = self._unsupported_reason(spec)
         if refusal:
             self.log.write("job.refused", request=spec.id, why=refusal)
-            return JobAnswer(JobOutcome.REFUSED, refusal, UNSERVED_RETRY_SECONDS)
+            return JobAnswer(JobOutcome.REFUSED, refusal, UNSUPPORTED_RETRY_SECONDS)
         known = self.jobs.jobs.get(spec.id)
         if known is not None and known.spec != spec:
             self.log.write("job.other_body", request=spec.id)
@@ -91,21 +93,21 @@
         return JobAnswer(job.outcome, job.why, job.retry_after)
 
     def state(self, job_id: JobId) -> JobState | None:
-        """Return the state of a job, or ``None`` if it is not known here."""
+        """Return the state of a job, or ``None`` if this entry does not know it."""
         job = self.jobs.jobs.get(job_id)
         if job is None:
             return None
         return JobState.RUNNING if job.may_have_run else JobState.QUEUED
 
     def cancel(self, job_id: JobId) -> bool:
-        """Cancel a job; false if it is not known here."""
+        """Cancel a job; return false if this entry does not know it."""
         return self.jobs.cancel(job_id)
 
     def pending(self, queue: JobQueue) -> int:
-        """Return the number of jobs of a queue that have not begun."""
+        """Return the number of jobs of a queue that have not started."""
         return self.jobs.pending_jobs(queue.name)
 
-    def _refusal(self, spec: JobSpec) -> str:
+    def _unsupported_reason(self, spec: JobSpec) -> str:
         if spec.unsupported:
             return f"not served: {', '.join(spec.unsupported)}"
         if spec.kept:
--- a/bergamotcourse/coordination/jobs/peers.py
+++ b/bergamotcourse/coordination/jobs/peers.py
@@ -1,9 +1,9 @@
-"""The entry's peers: how processes find each other, and pass on what is in force.
+"""The entry's peers: discovery of other processes, and exchange of the current state.
 
-Discovery rests on three sources, any of which is enough: the addresses in the settings,
-the rows in the platform's store, and what peers tell. The configuration and the
-evacuated zones are read from the store, and from peers where the store turns this
-process away.
+Processes are discovered from three sources, any of which suffices: the addresses in the
+settings, the rows in the platform's store, and the lists that peers send. The
+configuration and the evacuated zones are read from the store, and are received from
+peers if the store refuses this process.
 """
 
 import random
@@ -26,30 +26,35 @@
     Hello,
 )
 
-GREET_SECONDS = 0.4
-"""Between rounds of greetings: five fit into the time in which a configuration must be
-in force."""
+GREETING_INTERVAL_SECONDS = 0.4
+"""Interval between rounds of greetings. Five rounds fit into the time within which a
+configuration must be in force."""
 
-GREETED_AT_ONCE = 6
-"""Peers greeted in a round, drawn anew each time. A version that one entry has is known
-to all of 35 after three rounds; were each to greet all, an entry would send and receive
-170 messages a second for it."""
+PEERS_PER_ROUND = 6
+"""Number of peers greeted in a round, drawn at random each time. A version that one of
+35 entries has reaches all of them within three rounds. If each greeted all others, an
+entry would send and receive 170 messages a second for this."""
 
-ASK_SECONDS = 2.0
-"""Between greetings that ask for everyone known: of one peer, or of all drawn while
-this process knows no agent or has no configuration. An answer names every process,
-5 kB where there are 200."""
+FULL_LIST_INTERVAL_SECONDS = 2.0
+"""Interval between greetings that request the full list of known processes. One peer is
+asked; while this process knows no agent or has no configuration, every greeted peer is.
+A reply names every process, which is 5 kB for 200 processes."""
 
-FIRST_ASKS_SECONDS = 0.25
-"""Between greetings while this process knows no agent or has no configuration."""
+BOOTSTRAP_INTERVAL_SECONDS = 0.25
+"""Interval between rounds while this process knows no agent or has no configuration."""
 
-FORGET_SECONDS = 30.0
-"""A peer from elsewhere than the settings is forgotten after this silence."""
+PEER_EXPIRY_SECONDS = 30.0
+"""Silence after which a peer that is not from the settings is removed."""
 
 
 @dataclass
 class Peer:
-    """Another entry; ``heard_at`` is when it last sent something."""
+    """Another entry.
+
+    Attributes:
+        heard_at: Time of its last greeting, or of its discovery.
+        from_settings: Whether the settings list it; such a peer never expires.
+    """
 
     address: LinkAddress
     heard_at: float
@@ -60,14 +65,14 @@
     """The other entries that an entry knows.
 
     Attributes:
-        agents: Returns the addresses of the agents known.
-        on_farewell: Called with the address of an agent that stops.
-        own: Address of this entry.
+        agents: Returns the addresses of the known agents.
+        own_address: Address of this entry.
+        last_asked_at: Time of the last request for the full list of processes.
     """
 
     def __init__(
         self,
-        own: LinkAddress,
+        own_address: LinkAddress,
         mailer: Mailer,
         timers: Timers,
         queues: QueuesInForce,
@@ -76,7 +81,7 @@
         rng: random.Random | None = None,
     ):
         self.rng = rng or random.Random()
-        self.own = own
+        self.own_address = own_address
         self.mailer = mailer
         self.timers = timers
         self.queues = queues
@@ -84,31 +89,40 @@
         self.log = log
         self.peers: dict[LinkAddress, Peer] = {}
         self.agents: Callable[[], list[LinkAddress]] = list
-        self.asked_at = -1e9
-        queues.on_change = self.tell_change
+        self.last_asked_at = -1e9
+        queues.on_change = self.announce_change
 
     async def run(self) -> None:
-        """Greet peers until cancelled."""
+        """Send rounds of greetings until cancelled."""
         while True:
             self._tick()
-            settled = self._is_settled()
-            await trio.sleep(GREET_SECONDS if settled else FIRST_ASKS_SECONDS)
+            bootstrapped = self._is_bootstrapped()
+            await trio.sleep(
+                GREETING_INTERVAL_SECONDS
+                if bootstrapped
+                else BOOTSTRAP_INTERVAL_SECONDS
+            )
 
     def learn(self, addresses: list[LinkAddress], from_settings: bool = False) -> None:
-        """Add entries that are not known."""
+        """Add entries that are not known yet.
+
+        Args:
+            addresses: Addresses of entries.
+            from_settings: Whether they come from the settings.
+        """
         for address in addresses:
-            if address == self.own:
+            if address == self.own_address:
                 continue
             if address not in self.peers:
                 self.log.write("peer.learned", peer=address)
                 self.peers[address] = Peer(address, self.timers.now(), from_settings)
             self.peers[address].from_settings |= from_settings
 
-    def take(self, sender: LinkAddress, message: Message) -> None:
-        """Act on a message of another process."""
+    def handle_message(self, sender: LinkAddress, message: Message) -> None:
+        """Process a message from another process."""
         match message:
             case Hello():
-                self._take_greeting(sender, message)
+                self._handle_greeting(sender, message)
             case ConfigWanted(version=version):
                 if version < self.queues.version:
                     copy = ConfigCopy(self.queues.version, self.queues.content)
@@ -118,23 +132,23 @@
             case Farewell(agent=False):
                 self.peers.pop(sender, None)
 
-    def tell_change(self) -> None:
-        """Greet some peers at once, as what is in force has changed."""
+    def announce_change(self) -> None:
+        """Greet some peers at once after a change of the configuration or the zones."""
         self._greet()
 
     def greet_agents(self, addresses: list[LinkAddress]) -> None:
-        """Make this entry known to agents that it has not greeted."""
+        """Greet the agents among the addresses that this entry does not know yet."""
         known = set(self.agents())
         for address in addresses:
             if address not in known:
                 self.mailer.post(address, self._greeting(asks=False))
 
-    def say_farewell(self) -> None:
-        """Tell the other entries that this process ends."""
+    def send_farewell(self) -> None:
+        """Notify all known entries and agents that this process exits."""
         for address in [*self.peers, *self.agents()]:
             self.mailer.post(address, Farewell(agent=False))
 
-    def _take_greeting(self, sender: LinkAddress, greeting: Hello) -> None:
+    def _handle_greeting(self, sender: LinkAddress, greeting: Hello) -> None:
         self.learn([LinkAddress(entry) for entry in greeting.entries])
         self.greet_agents([LinkAddress(agent) for agent in greeting.agents])
         if not greeting.agent:
@@ -152,27 +166,27 @@
     def _tick(self) -> None:
         now = self.timers.now()
         for peer in list(self.peers.values()):
-            if now - peer.heard_at > FORGET_SECONDS and not peer.from_settings:
+            if now - peer.heard_at > PEER_EXPIRY_SECONDS and not peer.from_settings:
                 self.log.write("peer.forgotten", peer=peer.address)
                 del self.peers[peer.address]
-        self._greet(self._number_asked(now))
+        self._greet(self._count_to_ask(now))
 
-    def _number_asked(self, now: float) -> int:
-        """Return how many of this round are asked for everyone known."""
-        settled = self._is_settled()
-        if settled and now - self.asked_at < ASK_SECONDS:
+    def _count_to_ask(self, now: float) -> int:
+        """Return how many peers to ask for the full list in this round."""
+        bootstrapped = self._is_bootstrapped()
+        if bootstrapped and now - self.last_asked_at < FULL_LIST_INTERVAL_SECONDS:
             return 0
-        self.asked_at = now
-        return 1 if settled else GREETED_AT_ONCE
+        self.last_asked_at = now
+        return 1 if bootstrapped else PEERS_PER_ROUND
 
-    def _is_settled(self) -> bool:
-        """Return whether this process knows agents and a configuration."""
+    def _is_bootstrapped(self) -> bool:
+        """Return whether this process knows an agent and has a configuration."""
         return bool(self.agents()) and bool(self.queues.version)
 
     def _greet(self, asked: int = 0) -> None:
-        """Greet the peers of a round, and ask so many of them for everyone known."""
+        """Greet the peers of a round, and ask ``asked`` of them for the full list."""
         peers = list(self.peers)
-        drawn = self.rng.sample(peers, min(GREETED_AT_ONCE, len(peers)))
+        drawn = self.rng.sample(peers, min(PEERS_PER_ROUND, len(peers)))
         for index, peer in enumerate(drawn):
             self.mailer.post(peer, self._greeting(asks=index < asked))
 
--- a/bergamotcourse/coordination/jobs/placement.py
+++ b/bergamotcourse/coordination/jobs/placement.py
@@ -1,11 +1,11 @@
-"""Where a task goes: the decision alone, over what is known of the agents.
+"""Choice of the agent for a task; pure decisions over the known state of the agents.
 
-Load it answers: near full use. Tasks wait at the entry and are bound to an agent only
-once it has room, so a slow or silent upstream holds nothing but what it runs, and none
-waits behind the tasks of one upstream while another gets free.
+The design serves loads close to full utilisation. Tasks wait at the entry and are bound
+to an agent only once it has room. A slow or silent upstream therefore holds up only the
+tasks that it runs, and no task queues behind one upstream while another becomes free.
 
-Among hundreds of agents an entry uses those in contact as long as they have room. Then
-it tries one of the others, of which it knows the load of seconds ago.
+Among hundreds of agents, an entry uses the agents in contact as long as they have room.
+Then it tries one of the other agents, whose last known load is seconds old.
 """
 
 import itertools
@@ -14,17 +14,18 @@
 from bergamotcourse.coordination.jobs.agent_link import AgentLink
 from bergamotcourse.state.job_spec import StepSpec
 
-FAR_WEIGHT = 0.02
-"""Prefers the own zone among equals: a message to another costs bytes between zones."""
+OTHER_ZONE_PENALTY = 0.02
+"""Prefers the entry's own zone among equally loaded agents, to save traffic between
+zones."""
 
 
-RESERVED_WEIGHT = 1.0
-"""An upstream in a wanted rack comes after all others: a full one has fullness 1."""
+RESERVED_RACK_PENALTY = 1.0
+"""Ranks upstreams in reserved racks behind all others, as the highest fullness is 1."""
 
-CANDIDATES = 4
-"""The first agents without contact that have room, of which the least full is tried.
-All entries know much the same old loads: were each to take the least full of all, they
-would meet there."""
+CANDIDATE_COUNT = 4
+"""Number of agents that have room but no contact, among which the least loaded is
+chosen. All entries know similar outdated loads; if each chose the least loaded of all
+agents, they would all place tasks on the same one."""
 
 
 @dataclass(frozen=True)
@@ -32,10 +33,11 @@
     """What a task needs of an agent.
 
     Attributes:
-        avoid: Names of agents where it failed.
-        zone: Where its entry is.
-        rack: Where it must run; empty for anywhere.
-        reserved: Racks left to tasks whose data is there, while others have room.
+        step: The step of the task.
+        avoid: Names of agents that must not get the task.
+        zone: Zone of the entry.
+        rack: Rack in which the task must run; empty for any.
+        reserved: Racks left to tasks whose data is there while other racks have room.
     """
 
     service: str
@@ -46,35 +48,37 @@
     reserved: frozenset[str] = frozenset()
 
 
-def choose(links: list[AgentLink], request: PlacementRequest) -> AgentLink | None:
-    """Return the agent to place a task at, or ``None`` where none has room."""
+def choose_in_contact(
+    links: list[AgentLink], request: PlacementRequest
+) -> AgentLink | None:
+    """Return the best agent in contact for a task, or ``None`` if none has room."""
     best, best_score = None, 0.0
     for link in links:
-        if not suits(link, request):
+        if not can_accept_task(link, request):
             continue
-        score = score_of(link, request)
+        score = placement_score(link, request)
         if best is None or score < best_score:
             best, best_score = link, score
     return best
 
 
-def choose_to_open(
+def choose_without_contact(
     links: list[AgentLink], request: PlacementRequest
 ) -> AgentLink | None:
-    """Return the agent without contact to place a task at, or ``None``.
+    """Return an agent without contact to place a task on, or ``None`` if none has room.
 
     Args:
-        links: The agents, the first to be used first; each entry has an order of its
-            own, so that not all meet at the one that told of the most room.
+        links: The agents in order of preference. Each entry has its own order, so that
+            not all entries choose the agent that reported the most room.
         request: What the task needs.
     """
-    suitable = (link for link in links if suits(link, request))
-    drawn = itertools.islice(suitable, CANDIDATES)
-    return min(drawn, key=lambda link: score_of(link, request), default=None)
+    suitable = (link for link in links if can_accept_task(link, request))
+    drawn = itertools.islice(suitable, CANDIDATE_COUNT)
+    return min(drawn, key=lambda link: placement_score(link, request), default=None)
 
 
-def suits(link: AgentLink, request: PlacementRequest) -> bool:
-    """Return whether an agent may get a task now."""
+def can_accept_task(link: AgentLink, request: PlacementRequest) -> bool:
+    """Return whether an agent meets the requirements of a task and has room for it."""
     if link.name in request.avoid:
         return False
     room = link.room
@@ -90,10 +94,10 @@
     return needs.fits(link.free())
 
 
-def score_of(link: AgentLink, request: PlacementRequest) -> float:
-    """Return how badly an agent suits a task; less is better."""
+def placement_score(link: AgentLink, request: PlacementRequest) -> float:
+    """Return the cost of placing a task on an agent; lower is better."""
     capacity = max(1, link.room.capacity.cpu)
     fullness = (link.load_cpu() + request.step.needs.cpu) / capacity
-    far = FAR_WEIGHT if link.zone != request.zone else 0.0
+    far = OTHER_ZONE_PENALTY if link.zone != request.zone else 0.0
     reserved = not request.rack and not request.reserved.isdisjoint(link.room.labels)
-    return fullness + far + reserved * RESERVED_WEIGHT
+    return fullness + far + reserved * RESERVED_RACK_PENALTY
--- a/bergamotcourse/coordination/jobs/queues_in_force.py
+++ b/bergamotcourse/coordination/jobs/queues_in_force.py
@@ -1,4 +1,4 @@
-"""The configuration of the queues in force at this process: it only moves forward."""
+"""The queue configuration in force in this process; its version never decreases."""
 
 from collections.abc import Callable
 
@@ -11,17 +11,18 @@
 """Decodes a configuration.
 
 Raises:
-    ValueError: It is malformed.
+    ValueError: The configuration is malformed.
 """
 
 
 class QueuesInForce:
-    """The newest configuration that this process has seen.
+    """The newest configuration that this process has received.
 
     Attributes:
-        content: As it was received, to be passed on.
-        table: Its queues; ``None`` before the first.
+        content: The encoded configuration as received, for sending it to peers.
+        table: The queues; ``None`` before the first configuration.
         on_change: Called after each change.
+        first_adopted: Set once a configuration is in force.
     """
 
     def __init__(self, decode: Decoder, log: EventLog):
@@ -30,15 +31,23 @@
         self.content = b""
         self.table: QueueTable | None = None
         self.on_change: Callable[[], None] = lambda: None
-        self.first = trio.Event()
+        self.first_adopted = trio.Event()
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 for none."""
+        """Return the version in force, or 0 if there is none."""
         return self.table.version if self.table else 0
 
     def adopt(self, content: bytes, source: str) -> bool:
-        """Put a configuration in force if it is newer; false if it is not."""
+        """Put a configuration in force if it is well-formed and newer.
+
+        Args:
+            content: The encoded configuration.
+            source: Where it was received from, for the log.
+
+        Returns:
+            Whether it was put in force.
+        """
         try:
             table = self.decode(content)
         except ValueError as error:
@@ -55,6 +64,6 @@
         )
         self.table = table
         self.content = content
-        self.first.set()
+        self.first_adopted.set()
         self.on_change()
         return True
--- a/bergamotcourse/coordination/jobs/rack_demand.py
+++ b/bergamotcourse/coordination/jobs/rack_demand.py
@@ -1,34 +1,36 @@
-"""Which racks hold data that waiting and coming tasks want.
+"""Tracks the racks whose data recent jobs need.
 
-Load it answers: many jobs that want the same data at once. Tasks that run elsewhere
-take a multiple of their time, so the rack with the data is left to them as long as
-there is room in others.
+It serves loads in which many jobs need the same data at once. Tasks that run outside
+the rack with their data take a multiple of the time, so other tasks leave that rack to
+them while other racks have room.
 """
 
-RACK_SECONDS = 1.0
-"""A rack counts as wanted for so long after a job has named it: the tasks that other
-jobs place there take up to so long, and would stand in the way of the next."""
+RACK_DEMAND_SECONDS = 1.0
+"""Time after the last request for which a rack counts as in demand. Tasks of other jobs
+that are placed there run for up to this time, and would delay the next local task."""
 
 
 class RackDemand:
-    """The racks that jobs have named of late.
+    """The racks that recent jobs have requested.
 
     Attributes:
-        named_at: When each was named last.
+        requested_at: Time of the last request, by rack.
     """
 
     def __init__(self):
-        self.named_at: dict[str, float] = {}
+        self.requested_at: dict[str, float] = {}
 
-    def note(self, rack: str, now: float) -> None:
-        """Note that a job's data is in a rack."""
-        self.named_at[rack] = now
+    def record_request(self, rack: str, now: float) -> None:
+        """Record that the data of a job is in a rack."""
+        self.requested_at[rack] = now
 
-    def wanted(self, now: float) -> frozenset[str]:
-        """Return the racks that are wanted now."""
-        if not self.named_at:
+    def racks_in_demand(self, now: float) -> frozenset[str]:
+        """Return the racks that are in demand, and drop expired requests."""
+        if not self.requested_at:
             return frozenset()
-        self.named_at = {
-            rack: at for rack, at in self.named_at.items() if now - at < RACK_SECONDS
+        self.requested_at = {
+            rack: at
+            for rack, at in self.requested_at.items()
+            if now - at < RACK_DEMAND_SECONDS
         }
-        return frozenset(self.named_at)
+        return frozenset(self.requested_at)
--- a/bergamotcourse/coordination/jobs/store_watch.py
+++ b/bergamotcourse/coordination/jobs/store_watch.py
@@ -1,4 +1,4 @@
-"""What a process reads from the platform's store: configuration, zones, entries."""
+"""Access to the platform's store: configuration, zones, entries and upstreams."""
 
 import random
 from collections.abc import Callable
@@ -18,96 +18,105 @@
 
 T = TypeVar("T")
 
-CALL_SECONDS = 1.0
-"""For a call to the store that waits for nothing."""
+STORE_CALL_TIMEOUT_SECONDS = 1.0
+"""Timeout of a call to the store, apart from the time for which a call waits there."""
 
-WAIT_SECONDS = 0.8
-"""A call for changes waits so long: a connection that died without a sign then costs
-less than half of the time in which a configuration must be in force."""
+LONG_POLL_SECONDS = 0.8
+"""Duration of a long poll for changes in a small deployment. A connection that is lost
+silently then delays a configuration by less than half of the time within which it must
+be in force."""
 
-FEW_PEERS = 4
-MOST_WAIT_SECONDS = 2.0
-"""With more peers than these few the calls wait longer, up to so long: a version that
-any of them has learnt reaches an entry by their greetings within 1.2 s, and 35 entries
-make 18 calls a second in place of 44."""
+SMALL_DEPLOYMENT_PEERS = 4
+MAX_LONG_POLL_SECONDS = 2.0
+"""With more than ``SMALL_DEPLOYMENT_PEERS`` peers, long polls last longer, up to this
+bound. A version that any peer has received reaches an entry through greetings within
+1.2 s, and 35 entries make 18 calls a second instead of 44."""
 
-NOTHING_NEW_SECONDS = 0.05
-"""Pause after an answer without a change: against a store that does not wait, an entry
-spent half a core on asking."""
+UNCHANGED_PAUSE_SECONDS = 0.05
+"""Pause after a reply without changes. Without it, an entry spent half a core polling
+a store that replies immediately."""
 
-RETRY_SECONDS = 0.15
-MOST_RETRY_SECONDS = 1.2
-"""Pauses after a call that failed: doubled each time, and spread by half."""
+INITIAL_BACKOFF_SECONDS = 0.15
+MAX_BACKOFF_SECONDS = 1.2
+"""Bound on the pause after a failed call. Pauses start at ``INITIAL_BACKOFF_SECONDS``,
+double with each failure, and get a random jitter of up to one half."""
 
-MOST_CONFIG_RETRY_SECONDS = 0.6
-"""The same for the configuration: a call that times out and the pause after it end
-before the bound on configurations holds again, also at an entry without peers."""
+MAX_CONFIG_BACKOFF_SECONDS = 0.6
+"""Bound on the pause for the configuration. A call that times out and the pause after
+it end before the time limit on configurations applies again, even at an entry without
+peers."""
 
-ENTRIES_SECONDS = 5.0
-"""Between two looks for entries that have come; peers tell of them sooner."""
+ENTRY_POLL_SECONDS = 5.0
+"""Interval at which an entry reads the list of entries; peers report new ones first."""
 
-AGENT_ENTRIES_SECONDS = 20.0
-"""The same for an agent, which a new entry greets by itself: 160 agents make 8 calls a
-second, in place of 32."""
+AGENT_ENTRY_POLL_SECONDS = 20.0
+"""Interval at which an agent reads the list of entries. A new entry greets agents by
+itself, and 160 agents make 8 calls a second instead of 32."""
 
 
-def wait_seconds(peers: int) -> float:
-    """Return how long a call for changes waits beside so many other entries."""
-    return min(WAIT_SECONDS * max(1.0, peers / FEW_PEERS), MOST_WAIT_SECONDS)
+def long_poll_seconds(peer_count: int) -> float:
+    """Return the seconds of a long poll for changes, given the number of peers."""
+    return min(
+        LONG_POLL_SECONDS * max(1.0, peer_count / SMALL_DEPLOYMENT_PEERS),
+        MAX_LONG_POLL_SECONDS,
+    )
 
 
 class Backoff:
-    """Pauses between calls that fail, and the log of losing and regaining the store.
+    """Backs off after failed calls, and logs the loss and recovery of the store.
 
     Attributes:
-        most: Seconds of the longest pause, before it is spread.
-        answered_at: When a call was last answered, on trio's clock.
+        call_name: Name of the call in the log.
+        max_pause_seconds: Longest pause in seconds, before the jitter.
+        failures: Number of consecutive failed calls, at most 10.
+        answered_at: Time of the last successful call, on trio's clock.
     """
 
     def __init__(
         self,
-        what: str,
+        call_name: str,
         rng: random.Random,
         log: EventLog,
-        most: float = MOST_RETRY_SECONDS,
+        max_pause_seconds: float = MAX_BACKOFF_SECONDS,
     ):
-        self.what = what
+        self.call_name = call_name
         self.rng = rng
         self.log = log
-        self.most = most
+        self.max_pause_seconds = max_pause_seconds
         self.failures = 0
         self.answered_at = trio.current_time()
 
     def succeeded(self) -> None:
-        """Note a call that was answered."""
+        """Record a successful call, and reset the pause."""
         now = trio.current_time()
         if self.failures:
             self.log.write(
                 "store.regained",
-                call=self.what,
+                call=self.call_name,
                 failures=self.failures,
                 without_ms=round((now - self.answered_at) * 1000),
             )
         self.failures = 0
         self.answered_at = now
 
-    async def failed(self, error: StepError) -> None:
-        """Note a call that failed, and pause."""
+    async def pause_after_failure(self, error: StepError) -> None:
+        """Record a call that failed, and sleep for the backoff."""
         kind = "store.still_lost" if self.failures else "store.lost"
-        pause = min(RETRY_SECONDS * 2**self.failures, self.most)
+        pause = min(INITIAL_BACKOFF_SECONDS * 2**self.failures, self.max_pause_seconds)
         pause *= 0.5 + self.rng.random()
         self.log.write(
-            kind, call=self.what, error=str(error), pause_ms=round(pause * 1000)
+            kind, call=self.call_name, error=str(error), pause_ms=round(pause * 1000)
         )
         self.failures = min(self.failures + 1, 10)
         await trio.sleep(pause)
 
 
 class ConfigFeed:
-    """Follows the configuration and the evacuated zones in the store.
+    """Keeps the configuration and the evacuated zones up to date from the store.
 
     Attributes:
-        peers: Returns the number of other entries, which also tell of changes.
+        peer_count: Returns the number of other entries, which also report changes.
+        position: Position up to which changes are known; ``None`` to read everything.
     """
 
     def __init__(
@@ -117,28 +126,30 @@
         zones: EvacuatedZones,
         rng: random.Random,
         log: EventLog,
-        peers: Callable[[], int] = int,
+        peer_count: Callable[[], int] = int,
     ):
         self.store = store
         self.queues = queues
         self.zones = zones
-        self.peers = peers
+        self.peer_count = peer_count
         self.log = log
-        self.backoff = Backoff("config", rng, log, MOST_CONFIG_RETRY_SECONDS)
+        self.backoff = Backoff("config", rng, log, MAX_CONFIG_BACKOFF_SECONDS)
         self.position: int | None = None
 
     async def run(self) -> None:
-        """Follow them until cancelled."""
+        """Poll for changes until cancelled."""
         while True:
-            await self._take(await self._read())
+            await self._handle_result(await self._read())
 
     async def _read(self) -> Result[ConfigRead, StepError]:
         if self.position is None:
-            return await self.store.read_config(CALL_SECONDS)
-        wait = wait_seconds(self.peers())
-        return await self.store.config_changes(self.position, wait, wait + CALL_SECONDS)
+            return await self.store.read_config(STORE_CALL_TIMEOUT_SECONDS)
+        wait = long_poll_seconds(self.peer_count())
+        return await self.store.config_changes(
+            self.position, wait, wait + STORE_CALL_TIMEOUT_SECONDS
+        )
 
-    async def _take(self, result: Result[ConfigRead, StepError]) -> None:
+    async def _handle_result(self, result: Result[ConfigRead, StepError]) -> None:
         match result:
             case Result(tag="ok", ok=read):
                 self.backoff.succeeded()
@@ -146,7 +157,7 @@
             case Result(error=error):
                 if isinstance(error, HistoryGoneError):
                     self.position = None
-                await self.backoff.failed(error)
+                await self.backoff.pause_after_failure(error)
 
     async def _adopt(self, read: ConfigRead) -> None:
         if read.position != self.position:
@@ -160,11 +171,12 @@
         if read.content is not None:
             self.queues.adopt(read.content, "store")
         elif read.position == self.position:
-            # A store that answers at once would be asked without end.
-            await trio.sleep(NOTHING_NEW_SECONDS)
+            # Bounds the rate of calls to a store that replies immediately.
+            await trio.sleep(UNCHANGED_PAUSE_SECONDS)
         if self.queues.table is None:
-            # There is none yet: the feed would tell, but a peer may have one.
-            await trio.sleep(RETRY_SECONDS)
+            # There is no configuration yet. A long poll would report the first one, but
+            # a peer may have one before.
+            await trio.sleep(INITIAL_BACKOFF_SECONDS)
             return
         self.position = read.position
 
@@ -176,7 +188,7 @@
 
 
 class EntryRows:
-    """The rows by which entries are found."""
+    """The rows in the store through which entries are discovered."""
 
     def __init__(self, store: JobStore, rng: random.Random, log: EventLog):
         self.store = store
@@ -184,86 +196,99 @@
         self.log = log
 
     async def announce(self, address: LinkAddress) -> None:
-        """Make an entry known; repeated until the store has it."""
+        """Write the row of an entry, and retry until the store accepts it."""
         backoff = Backoff("announce", self.rng, self.log)
         while True:
-            result = await self.store.put_entry(address, CALL_SECONDS)
+            result = await self.store.put_entry(address, STORE_CALL_TIMEOUT_SECONDS)
             if result.is_ok():
                 backoff.succeeded()
                 return
-            await backoff.failed(result.error)
+            await backoff.pause_after_failure(result.error)
 
     async def withdraw(self, address: LinkAddress) -> None:
-        """Remove an entry's row; a row that stays costs others a few messages."""
-        result = await self.store.remove_entry(address, CALL_SECONDS)
+        """Remove the row of an entry.
+
+        A failure is only logged: a stale row costs other processes a few messages.
+        """
+        result = await self.store.remove_entry(address, STORE_CALL_TIMEOUT_SECONDS)
         if result.is_error():
             self.log.write("store.row_stays", error=str(result.error))
 
-    async def follow(self, learn, seconds: float = ENTRIES_SECONDS) -> None:
-        """Tell of the entries in the store, again and again, until cancelled.
+    async def poll_entries(self, learn, seconds: float = ENTRY_POLL_SECONDS) -> None:
+        """Read the entries from the store periodically until cancelled.
 
         Args:
-            learn: Called with the addresses.
-            seconds: Between two looks.
+            learn: Called with the addresses after each read.
+            seconds: Interval between reads.
         """
         backoff = Backoff("entries", self.rng, self.log)
         while True:
-            result = await self.store.read_entries(CALL_SECONDS)
+            result = await self.store.read_entries(STORE_CALL_TIMEOUT_SECONDS)
             if result.is_ok():
                 backoff.succeeded()
                 learn(result.ok)
                 await trio.sleep(seconds)
             else:
-                await backoff.failed(result.error)
+                await backoff.pause_after_failure(result.error)
 
 
-def _says_the_same(one: UpstreamReport, other: UpstreamReport) -> bool:
-    """Return whether the next process of an agent needs only one of two reports."""
+def _equivalent_for_restart(one: UpstreamReport, other: UpstreamReport) -> bool:
+    """Return whether two reports are equivalent for the next process of an agent."""
     return (one.life, one.draining) == (other.life, other.draining)
 
 
 class UpstreamRows:
-    """The last report of each upstream, kept for the next processes.
+    """The last report of each upstream, stored for processes that start later.
 
-    An agent that starts anew would know its upstream only by the next report, more than
-    a second later; an entry that starts anew finds all agents here at once.
+    Without them, a restarted agent would know its upstream only from the next report,
+    more than a second later. A restarted entry finds all agents here at once.
 
     Attributes:
-        kept: The report that was kept last.
+        last_stored: The report that was last passed to the store.
     """
 
     def __init__(self, store: JobStore, rng: random.Random, log: EventLog):
         self.store = store
         self.rng = rng
         self.log = log
-        self.kept: UpstreamReport | None = None
+        self.last_stored: UpstreamReport | None = None
 
-    async def keep(self, agent: LinkAddress, report: UpstreamReport) -> None:
-        """Keep the report of a new life of an upstream, or of one that leaves now.
+    async def store_report(self, agent: LinkAddress, report: UpstreamReport) -> None:
+        """Store a report of a new incarnation or a changed draining state.
 
-        Tried once: without it the next process learns the same a little later. Without
-        the leaving it would give work to that upstream until then.
+        The call is not retried: without the report, the next process of the agent only
+        learns of the upstream a little later. Without the report that it is draining,
+        that process would give work to the upstream until then.
         """
-        if self.kept is not None and _says_the_same(self.kept, report):
+        if self.last_stored is not None and _equivalent_for_restart(
+            self.last_stored, report
+        ):
             return
-        self.kept = report
-        result = await self.store.put_upstream(agent, report, CALL_SECONDS)
+        self.last_stored = report
+        result = await self.store.put_upstream(
+            agent, report, STORE_CALL_TIMEOUT_SECONDS
+        )
         if result.is_error():
             self.log.write("store.upstream_not_kept", error=str(result.error))
 
     async def read_own(self, agent: LinkAddress) -> UpstreamReport | None:
-        """Return the last report of an agent's upstream, if the store has one.
+        """Return the last report of an agent's upstream, or ``None``.
 
-        Of its own only: 160 agents that start at once and read all rows read 10 MB.
+        Only the agent's own row is read: if 160 agents started at the same time and
+        each read all rows, they would read 10 MB.
         """
-        return self._value(await self.store.read_upstream(agent, CALL_SECONDS), None)
+        return self._value_or_default(
+            await self.store.read_upstream(agent, STORE_CALL_TIMEOUT_SECONDS), None
+        )
 
     async def read(self) -> dict[LinkAddress, UpstreamReport]:
-        """Return the reports by agent; nothing if the store does not answer."""
-        return self._value(await self.store.read_upstreams(CALL_SECONDS), {})
+        """Return the reports by agent; empty if the store cannot be read."""
+        return self._value_or_default(
+            await self.store.read_upstreams(STORE_CALL_TIMEOUT_SECONDS), {}
+        )
 
-    def _value(self, result: Result[T, StepError], instead: T) -> T:
-        """Return what was read; without an answer tell of it, and return another."""
+    def _value_or_default(self, result: Result[T, StepError], instead: T) -> T:
+        """Return the value that was read; log an error and return ``instead``."""
         if result.is_error():
             self.log.write("store.upstreams_not_read", error=str(result.error))
         return result.default_value(instead)
--- a/bergamotcourse/daemons/job_agent.py
+++ b/bergamotcourse/daemons/job_agent.py
@@ -5,7 +5,7 @@
 from bergamotcourse.coordination.jobs.contacts import Contacts
 from bergamotcourse.coordination.jobs.executor import Executor
 from bergamotcourse.coordination.jobs.store_watch import (
-    AGENT_ENTRIES_SECONDS,
+    AGENT_ENTRY_POLL_SECONDS,
     EntryRows,
     UpstreamRows,
 )
@@ -57,13 +57,15 @@
         await nursery.start(self.executor.run)
         nursery.start_soon(self.contacts.run)
         nursery.start_soon(serve_http, server(node.settings.reports, reports))
-        nursery.start_soon(rows.follow, self.contacts.learn, AGENT_ENTRIES_SECONDS)
+        nursery.start_soon(
+            rows.poll_entries, self.contacts.learn, AGENT_ENTRY_POLL_SECONDS
+        )
 
     async def _recall_upstream(self) -> None:
         """Take up the upstream that the process before this one has known."""
         report = await self.upstreams.read_own(self.node.address)
         if report is not None and self.executor.life is None:
-            self.upstreams.kept = report
+            self.upstreams.last_stored = report
             await self.executor.recall(report)
             self.contacts.tell_all()
 
@@ -71,7 +73,9 @@
         self.contacts.tell_all()
         life = self.executor.life
         if life is not None:
-            self.nursery.start_soon(self.upstreams.keep, self.node.address, life.report)
+            self.nursery.start_soon(
+                self.upstreams.store_report, self.node.address, life.report
+            )
 
     def settings_changed(self, settings: NodeSettings) -> None:
         """Take changed settings."""
--- a/bergamotcourse/daemons/job_entry.py
+++ b/bergamotcourse/daemons/job_entry.py
@@ -97,7 +97,7 @@
         nursery.start_soon(feed.run)
         nursery.start_soon(self.rows.announce, node.address)
         nursery.start_soon(self._greet_agents)
-        nursery.start_soon(self.rows.follow, self.peers.learn)
+        nursery.start_soon(self.rows.poll_entries, self.peers.learn)
         nursery.start_soon(serve_http, self.server)
         if settings.readiness is not None:
             ready = server(settings.readiness, node.platform.readiness(self.is_ready))
@@ -119,11 +119,11 @@
             case Farewell(agent=True):
                 self.links.farewell(sender)
             case _:
-                self.peers.take(sender, message)
+                self.peers.handle_message(sender, message)
 
     def _zones_changed(self) -> None:
-        self.peers.tell_change()
-        self.jobs.take_evacuations()
+        self.peers.announce_change()
+        self.jobs.handle_evacuations()
 
     def is_ready(self) -> bool:
         """Return whether this entry wants callers."""
@@ -151,8 +151,8 @@
         # Not only for the jobs that are known: a request may just be coming in.
         with trio.move_on_after(begun + seconds - trio.current_time()):
             await self.server.wait_stopped()
-        self.jobs.give_up_all("this entry is stopping")
+        self.jobs.abandon_all_jobs("this entry is stopping")
         with trio.move_on_after(ANSWER_SECONDS / 2):
             await self.server.wait_stopped()
-        self.peers.say_farewell()
+        self.peers.send_farewell()
         await self.rows.withdraw(self.node.address)
--- a/bergamotcourse/platform/callers.py
+++ b/bergamotcourse/platform/callers.py
@@ -66,7 +66,7 @@
     async def _submit(
         self, request: HttpRequest, queue: JobQueue, job_id: JobId
     ) -> HttpResponse:
-        refusal = self.service.turn_away(job_id)
+        refusal = self.service.refuse_if_overloaded(job_id)
         if refusal is not None:
             return job_response(refusal)
         try:
--- a/bergamotcourse/tests/jobs/fleets.py
+++ b/bergamotcourse/tests/jobs/fleets.py
@@ -1,4 +1,4 @@
-"""Running a job fleet on a virtual clock."""
+"""Runs a job fleet on a virtual clock."""
 
 import trio
 
@@ -7,7 +7,7 @@
 
 
 def run_fleet(main, seed=1, **shape):
-    """Start a fleet, run ``main`` with it, and return what that returns."""
+    """Start a fleet, run ``main`` with it, and return the result of ``main``."""
 
     async def start_and_run():
         async with trio.open_nursery() as nursery:
--- a/bergamotcourse/tests/jobs/test_configuration.py
+++ b/bergamotcourse/tests/jobs/test_configuration.py
@@ -1,4 +1,4 @@
-"""How the configuration reaches an entry, from the store and from its peers."""
+"""Propagation of the configuration and evacuations from the store and from peers."""
 
 import random
 
@@ -23,7 +23,7 @@
 from bergamotcourse.virtual.clock import run_virtual
 
 IN_FORCE_SECONDS = 2.0
-"""In which a configuration must be in force everywhere."""
+"""Time within which a configuration must be in force at all entries."""
 
 
 def content(version):
@@ -51,8 +51,8 @@
 
     Attributes:
         zones: The last change of each zone.
-        error: Fails all calls.
-        waits: Whether a call for changes waits for one.
+        error: Error of all calls; ``None`` lets them succeed.
+        waits: Whether a call for changes is a long poll.
     """
 
     def __init__(self):
@@ -102,22 +102,22 @@
 
 
 class TestQueuesInForce:
-    def test_only_move_forward(self):
+    def test_older_or_equal_version_is_ignored(self):
         queues = make_queues()
         assert queues.adopt(content(7), "store")
         assert not queues.adopt(content(7), "peer")
         assert not queues.adopt(content(4), "peer")
         assert queues.version == 7
 
-    def test_a_malformed_one_changes_nothing(self):
+    def test_malformed_configuration_is_ignored(self):
         queues = make_queues()
         queues.adopt(content(7), "store")
         assert not queues.adopt(b"{", "peer")
         assert queues.version == 7
 
 
-def follow(scenario, zones=None):
-    """Run a scenario with a store, and the queues of a process that follows it."""
+def run_feed(scenario, zones=None):
+    """Run a scenario with a fake store and the queues that a feed updates from it."""
 
     async def main():
         store, queues = FakeStore(), make_queues()
@@ -133,7 +133,7 @@
 
 
 class TestConfigFeed:
-    def test_the_first_and_each_change_are_in_force_at_once(self):
+    def test_first_version_and_each_change_take_effect_promptly(self):
         async def scenario(store, queues):
             await trio.sleep(1.0)
             for version in (3, 8, 9):
@@ -141,7 +141,7 @@
                 await trio.sleep(0.3)
                 assert queues.version == version
 
-        follow(scenario)
+        run_feed(scenario)
 
     @pytest.mark.parametrize(
         ("error", "seconds", "version"),
@@ -151,7 +151,7 @@
         ],
         ids=["status 503", "history gone"],
     )
-    def test_a_store_that_comes_back_is_followed_again(self, error, seconds, version):
+    def test_feed_resumes_after_store_failure(self, error, seconds, version):
         async def scenario(store, queues):
             store.put(3)
             await trio.sleep(0.5)
@@ -162,17 +162,17 @@
             await trio.sleep(IN_FORCE_SECONDS)
             assert queues.version == version
 
-        follow(scenario)
+        run_feed(scenario)
 
-    def test_a_store_that_refuses_is_not_pressed(self):
+    def test_call_rate_is_bounded_while_store_refuses(self):
         async def scenario(store, queues):
             store.error = StepError(Step.STORE, "store", "status 429")
             await trio.sleep(10.0)
             assert store.calls <= 20
 
-        follow(scenario)
+        run_feed(scenario)
 
-    def test_a_store_that_answers_at_once_is_not_pressed(self):
+    def test_call_rate_is_bounded_when_store_replies_immediately(self):
         async def scenario(store, queues):
             store.put(3)
             store.waits = False
@@ -182,13 +182,13 @@
             await trio.sleep(0.1)
             assert queues.version == 4
 
-        follow(scenario)
+        run_feed(scenario)
 
 
 class TestEvacuationFeed:
-    """The zones come with the configuration, and through the same failures."""
+    """Zones are read with the configuration, and are subject to the same failures."""
 
-    def test_each_change_is_in_force_at_once(self):
+    def test_each_zone_change_takes_effect_promptly(self):
         zones = make_zones()
 
         async def scenario(store, queues):
@@ -203,10 +203,10 @@
             await trio.sleep(0.3)
             assert zones.latest.zones == ("south",)
 
-        follow(scenario, zones)
+        run_feed(scenario, zones)
 
     @pytest.mark.parametrize("evacuated", [True, False])
-    def test_one_that_the_history_has_lost_is_read_whole(self, evacuated):
+    def test_zone_change_missing_from_history_is_read_from_snapshot(self, evacuated):
         zones = make_zones()
 
         async def scenario(store, queues):
@@ -218,13 +218,13 @@
             store.evacuate("north", evacuated)
             store.error = None
             await trio.sleep(IN_FORCE_SECONDS)
-            assert zones.has("north") is evacuated
+            assert zones.is_evacuated("north") is evacuated
 
-        follow(scenario, zones)
+        run_feed(scenario, zones)
 
 
 class TestPeers:
-    def converse(self, scenario, entries=3):
+    def run_peers(self, scenario, entries=3):
         numbers = range(1, entries + 1)
 
         async def main():
@@ -241,8 +241,8 @@
                     peers = Peers(
                         address, mailer, timers, queues, make_zones(), log, rng
                     )
-                    peers.zones.on_change = peers.tell_change
-                    mailer.handler = peers.take
+                    peers.zones.on_change = peers.announce_change
+                    mailer.handler = peers.handle_message
                     peers.learn(addresses, from_settings=True)
                     nursery.start_soon(mailer.run)
                     nursery.start_soon(peers.run)
@@ -253,44 +253,44 @@
 
         run_virtual(main, 1)
 
-    def test_one_that_the_store_turns_away_learns_it_from_the_others(self):
+    def test_configuration_spreads_to_peers_without_store(self):
         async def scenario(network, addresses, entries):
             entries[0][1].adopt(content(5), "store")
             await trio.sleep(IN_FORCE_SECONDS)
             assert [queues.version for _, queues in entries] == [5, 5, 5]
 
-        self.converse(scenario)
+        self.run_peers(scenario)
 
-    def test_so_do_thirty_others(self):
+    def test_configuration_spreads_to_34_peers_without_store(self):
         async def scenario(network, addresses, entries):
             entries[0][1].adopt(content(5), "store")
             await trio.sleep(IN_FORCE_SECONDS)
             assert {queues.version for _, queues in entries} == {5}
 
-        self.converse(scenario, entries=35)
+        self.run_peers(scenario, entries=35)
 
-    def test_evacuations_reach_thirty_others_that_the_store_turns_away(self):
+    def test_evacuations_spread_to_34_peers_without_store(self):
         async def scenario(network, addresses, entries):
             entries[0][0].zones.adopt(evacuation(7, "north"), "store")
             await trio.sleep(IN_FORCE_SECONDS)
-            assert all(peers.zones.has("north") for peers, _ in entries)
+            assert all(peers.zones.is_evacuated("north") for peers, _ in entries)
             entries[5][0].zones.adopt(evacuation(9), "store")
             await trio.sleep(IN_FORCE_SECONDS)
-            assert not any(peers.zones.has("north") for peers, _ in entries)
+            assert not any(peers.zones.is_evacuated("north") for peers, _ in entries)
 
-        self.converse(scenario, entries=35)
+        self.run_peers(scenario, entries=35)
 
-    def test_an_older_word_on_evacuations_changes_nothing(self):
+    def test_older_evacuations_from_peer_are_ignored(self):
         async def scenario(network, addresses, entries):
             entries[0][0].zones.adopt(evacuation(9), "store")
             entries[1][0].zones.adopt(evacuation(7, "north"), "store")
             await trio.sleep(IN_FORCE_SECONDS)
-            assert not any(peers.zones.has("north") for peers, _ in entries)
+            assert not any(peers.zones.is_evacuated("north") for peers, _ in entries)
 
-        self.converse(scenario)
+        self.run_peers(scenario)
 
-    def test_the_greetings_of_many_are_bounded(self):
-        """Each greets six in a round, and knows agents and a configuration."""
+    def test_message_rate_of_35_entries_is_bounded(self):
+        """Each entry greets six peers a round; it knows an agent and a version."""
 
         async def scenario(network, addresses, entries):
             for peers, queues in entries:
@@ -302,9 +302,9 @@
             sent = sum(sent.payloads for sent in network.sent.values()) - before
             assert sent / 10.0 / len(entries) <= 18
 
-        self.converse(scenario, entries=35)
+        self.run_peers(scenario, entries=35)
 
-    def test_the_first_greeting_may_be_lost(self):
+    def test_configuration_spreads_after_first_greeting_is_lost(self):
         async def scenario(network, addresses, entries):
             network.cut(addresses[0], addresses[1])
             network.cut(addresses[0], addresses[2])
@@ -314,13 +314,13 @@
             await trio.sleep(IN_FORCE_SECONDS)
             assert [queues.version for _, queues in entries] == [5, 5, 5]
 
-        self.converse(scenario)
+        self.run_peers(scenario)
 
-    def test_an_entry_that_is_known_to_one_becomes_known_to_all(self):
+    def test_entry_known_to_one_peer_becomes_known_to_all(self):
         async def scenario(network, addresses, entries):
-            stranger = LinkAddress("tcp://entry-9")
-            entries[0][0].learn([stranger])
+            new_entry = LinkAddress("tcp://entry-9")
+            entries[0][0].learn([new_entry])
             await trio.sleep(5.0)
-            assert all(stranger in peers.peers for peers, _ in entries)
+            assert all(new_entry in peers.peers for peers, _ in entries)
 
-        self.converse(scenario)
+        self.run_peers(scenario)
--- a/bergamotcourse/tests/jobs/test_contact_on_demand.py
+++ b/bergamotcourse/tests/jobs/test_contact_on_demand.py
@@ -327,7 +327,7 @@
                 greeting = Hello(False, [], [], 0, asks=False)
                 entry.mailer.post(agent.address, greeting)
                 await trio.sleep(0.01)
-                entry.jobs.pump()
+                entry.jobs.place_waiting_jobs()
                 entry.links.choices()
             return len(entry.links.choices().near)
 
--- a/bergamotcourse/tests/jobs/test_crashing_tasks.py
+++ b/bergamotcourse/tests/jobs/test_crashing_tasks.py
@@ -8,7 +8,7 @@
 from bergamotcourse.bench.replay.load_file import read_load
 from bergamotcourse.bench.replay.run import replay
 from bergamotcourse.coordination.jobs import job_dispatcher
-from bergamotcourse.coordination.jobs.job_dispatcher import MOST_CRASHES
+from bergamotcourse.coordination.jobs.job_dispatcher import MAX_UPSTREAM_CRASHES
 from bergamotcourse.coordination.jobs.job_run import JobOutcome
 from bergamotcourse.coordination.jobs.policy import JobPolicy
 from bergamotcourse.protocol.upstream_orders import LifeKey
@@ -36,7 +36,7 @@
             fleet.crashing.add("a.0.0.0")
             answer = await fleet.submit("entry-1", job("a", work=2.0), QUEUE, LONG)
             assert answer.outcome is JobOutcome.FAILED
-            assert starts_of(fleet, "a.0.0.0") == MOST_CRASHES
+            assert starts_of(fleet, "a.0.0.0") == MAX_UPSTREAM_CRASHES
             [settled] = fleet.logged("job.settled")
             assert "3 upstreams crashed under a.0.0.0" in settled["why"]
 
@@ -87,7 +87,7 @@
                 outcomes.append(answer.outcome)
 
             fleet.nursery.start_soon(submit)
-            for _ in range(MOST_CRASHES):
+            for _ in range(MAX_UPSTREAM_CRASHES):
                 await trio.sleep(0.3)
                 [run] = [run for run in fleet.history if run.ended_at is None]
                 self.leave(fleet, run.upstream)
@@ -107,6 +107,6 @@
     def test_more_of_them_are_in_time_than_if_it_was_tried_on(self, monkeypatch):
         load = read_load(str(LOAD)).ok
         given_up = replay(load, JobPolicy(), seed=1).total.share_earned()
-        monkeypatch.setattr(job_dispatcher, "MOST_CRASHES", 1000)
+        monkeypatch.setattr(job_dispatcher, "MAX_UPSTREAM_CRASHES", 1000)
         tried_on = replay(load, JobPolicy(), seed=1).total.share_earned()
         assert given_up > tried_on + 0.02
--- a/bergamotcourse/tests/jobs/test_evacuations.py
+++ b/bergamotcourse/tests/jobs/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Zones that are evacuated: where jobs go, what is refused, and who learns it how."""
+"""Evacuated zones: placement, refusals, and propagation to entries and agents."""
 
 import random
 
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bergamotcourse.coordination.jobs.job_order import LEARNING_SECONDS
+from bergamotcourse.coordination.jobs.job_order import DISCOVERY_SECONDS
 from bergamotcourse.coordination.jobs.job_run import JobOutcome
 from bergamotcourse.ids import ZoneName
 from bergamotcourse.state.evacuations import Evacuations, ZoneChange, apply_changes
@@ -17,11 +17,11 @@
 
 NORTH, SOUTH = "zone-1", "zone-2"
 
-LEARNT_SECONDS = 0.3
-"""In which agents hear of an evacuation from entries that are in contact."""
+PROPAGATION_SECONDS = 0.3
+"""Time within which agents receive evacuations from entries in contact."""
 
-EVACUATED_SECONDS = 5.0
-"""After which nothing may start in an evacuated zone, whatever fails."""
+EVACUATION_BOUND_SECONDS = 5.0
+"""Time after which no run may start in an evacuated zone, under any fault."""
 
 
 def zones_used(fleet, since=0):
@@ -34,19 +34,19 @@
     return fleet.zone_of(run.upstream.removeprefix("upstream-").rpartition("-")[0])
 
 
-def evacuate_at(fleet, entry, version, *zones):
-    """Tell one entry alone that zones are evacuated."""
-    word = Evacuations(version, tuple(ZoneName(zone) for zone in zones))
-    fleet.entries[entry].zones.adopt(word, "store")
+def evacuate_at_entry(fleet, entry, version, *zones):
+    """Put evacuations in force at one entry only."""
+    evacuations = Evacuations(version, tuple(ZoneName(zone) for zone in zones))
+    fleet.entries[entry].zones.adopt(evacuations, "store")
 
 
-class TestChanges:
+class TestApplyChanges:
     @given(
         st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=12),
         st.randoms(use_true_random=False),
     )
-    def test_all_processes_agree_however_they_learn(self, made, rng):
-        """One has read all in turn, the others parts of it and what peers told."""
+    def test_views_from_partial_and_full_reads_converge(self, made, rng):
+        """One process reads every change, others a part of them and views of peers."""
         changes = [
             ZoneChange(ZoneName(zone), evacuated, number)
             for number, (zone, evacuated) in enumerate(made, start=1)
@@ -61,8 +61,8 @@
             assert apply_changes(view, tuple(changes)) == leader
 
 
-class TestPlacing:
-    def test_jobs_go_to_other_zones_until_it_is_taken_back(self):
+class TestPlacement:
+    def test_jobs_avoid_zone_until_evacuation_ends(self):
         async def main(fleet):
             fleet.evacuate(SOUTH)
             for number in range(4):
@@ -70,13 +70,13 @@
                 assert answer.outcome is JobOutcome.SUCCEEDED
             assert zones_used(fleet) == {NORTH}
             fleet.evacuate()
-            await trio.sleep(LEARNT_SECONDS)
+            await trio.sleep(PROPAGATION_SECONDS)
             await fleet.submit("entry-1", job("b", tasks=30, work=0.1))
             assert zones_used(fleet) == {NORTH, SOUTH}
 
         run_fleet(main, zones=2)
 
-    def test_what_runs_there_goes_on_to_its_end(self):
+    def test_running_tasks_in_evacuated_zone_complete(self):
         async def main(fleet):
             fleet.nursery.start_soon(
                 fleet.submit, "entry-1", job("a", tasks=30, work=1.0)
@@ -89,7 +89,7 @@
 
         run_fleet(main, zones=2)
 
-    def test_another_zone_than_ours_changes_nothing(self):
+    def test_evacuation_of_unrelated_zone_has_no_effect(self):
         async def main(fleet):
             fleet.evacuate("zone-9")
             await fleet.submit("entry-1", job("a", tasks=30, work=0.1))
@@ -99,9 +99,9 @@
 
 
 class TestRefusals:
-    def test_with_no_zone_left_a_job_is_refused_at_once(self):
+    def test_job_is_refused_immediately_when_all_zones_are_evacuated(self):
         async def main(fleet):
-            await trio.sleep(LEARNING_SECONDS)
+            await trio.sleep(DISCOVERY_SECONDS)
             fleet.evacuate(NORTH, SOUTH)
             begun = trio.current_time()
             answer = await fleet.submit("entry-1", job("a"))
@@ -111,9 +111,9 @@
 
         run_fleet(main, zones=2)
 
-    def test_so_is_one_that_waits_for_room(self):
+    def test_waiting_job_is_refused_when_all_zones_become_evacuated(self):
         async def main(fleet):
-            await trio.sleep(LEARNING_SECONDS)
+            await trio.sleep(DISCOVERY_SECONDS)
             full = job("full", tasks=40, work=2.0)
             fleet.nursery.start_soon(fleet.submit, "entry-1", full)
             await trio.sleep(0.2)
@@ -134,34 +134,34 @@
         run_fleet(main, zones=2)
 
 
-class TestWhoLearns:
-    def test_an_agent_refuses_what_an_entry_with_an_old_view_places(self):
-        """Its entry may be cut off from the store and from all other entries."""
+class TestPropagation:
+    def test_agent_rejects_placements_of_entry_with_stale_zones(self):
+        """The entry may have lost the store and all other entries."""
 
         async def main(fleet):
-            evacuate_at(fleet, "entry-1", 1, SOUTH)
-            await trio.sleep(LEARNT_SECONDS)
+            evacuate_at_entry(fleet, "entry-1", 1, SOUTH)
+            await trio.sleep(PROPAGATION_SECONDS)
             answer = await fleet.submit("entry-2", job("a", tasks=20, work=0.1))
             assert answer.outcome is JobOutcome.SUCCEEDED
             assert zones_used(fleet) == {NORTH}
 
         run_fleet(main, zones=2)
 
-    def test_an_agent_takes_the_newest_word_of_all_entries(self):
+    def test_agent_uses_newest_evacuations_of_all_entries(self):
         async def main(fleet):
-            evacuate_at(fleet, "entry-1", 2)
-            evacuate_at(fleet, "entry-2", 1, SOUTH)
-            await trio.sleep(LEARNT_SECONDS)
+            evacuate_at_entry(fleet, "entry-1", 2)
+            evacuate_at_entry(fleet, "entry-2", 1, SOUTH)
+            await trio.sleep(PROPAGATION_SECONDS)
             await fleet.submit("entry-1", job("a", tasks=30, work=0.1))
             assert zones_used(fleet) == {NORTH, SOUTH}
 
         run_fleet(main, zones=2)
 
     @pytest.mark.parametrize("name", ["entry-1", "agent-2"])
-    def test_a_process_that_starts_in_the_middle_knows_it(self, name):
+    def test_process_restarted_during_evacuation_honours_it(self, name):
         async def main(fleet):
             fleet.evacuate(SOUTH)
-            await trio.sleep(LEARNT_SECONDS)
+            await trio.sleep(PROPAGATION_SECONDS)
             if name.startswith("entry"):
                 fleet.entries[name].kill()
                 fleet.start_entry(name)
@@ -177,10 +177,10 @@
 
 
 class TestChaos:
-    """Zones are evacuated and taken back while processes and links fail."""
+    """Zones are evacuated and restored while processes and links fail."""
 
     @pytest.mark.parametrize("seed", range(6))
-    def test_nothing_starts_there_and_no_promise_is_broken(self, seed):
+    def test_no_start_in_evacuated_zone_and_no_overlap_under_faults(self, seed):
         async def main(fleet):
             evacuated = []
 
@@ -207,7 +207,7 @@
                 for zone, began, ended in evacuated
                 for run in fleet.history
                 if zone_of(fleet, run) == zone
-                and began + EVACUATED_SECONDS < run.started_at < ended
+                and began + EVACUATION_BOUND_SECONDS < run.started_at < ended
             ]
             assert late == []
 
--- a/bergamotcourse/tests/jobs/test_job_path.py
+++ b/bergamotcourse/tests/jobs/test_job_path.py
@@ -1,4 +1,4 @@
-"""A job from its caller to the upstreams and back, without faults."""
+"""Jobs from submission to response, without process or link faults."""
 
 from collections import Counter
 
@@ -13,7 +13,7 @@
 
 
 class TestOneJob:
-    def test_runs_each_task_once_and_is_answered_when_the_last_ends(self):
+    def test_each_task_runs_once_and_caller_is_answered_after_last(self):
         async def main(fleet):
             begun = trio.current_time()
             answer = await fleet.submit("entry-1", job("a", tasks=6, work=0.2))
@@ -25,14 +25,14 @@
 
         run_fleet(main)
 
-    def test_is_kept_together_where_one_upstream_has_room(self):
+    def test_tasks_share_one_upstream_that_has_room(self):
         async def main(fleet):
             await fleet.submit("entry-1", job("a", tasks=8))
             assert len({run.upstream for run in fleet.history}) == 1
 
         run_fleet(main)
 
-    def test_is_spread_where_none_has_room_for_all(self):
+    def test_tasks_are_spread_when_no_upstream_has_room_for_all(self):
         async def main(fleet):
             await fleet.submit("entry-1", job("a", tasks=40))
             used = Counter(run.upstream for run in fleet.history)
@@ -41,7 +41,7 @@
 
         run_fleet(main)
 
-    def test_of_several_goes_to_several_upstreams(self):
+    def test_concurrent_jobs_use_different_upstreams(self):
         async def main(fleet):
             async with trio.open_nursery() as nursery:
                 for name in "abcd":
@@ -50,8 +50,8 @@
 
         run_fleet(main)
 
-    def test_is_told_in_full_once_to_each_agent(self):
-        """Its tasks share the payload, which is most of what an entry sends."""
+    def test_payload_is_sent_once_to_each_agent(self):
+        """Tasks of a job share the payload, which is most of an entry's traffic."""
 
         async def main(fleet):
             sent = []
@@ -67,22 +67,22 @@
 
         run_fleet(main)
 
-    def test_of_the_same_id_twice_runs_once_and_both_are_answered(self):
+    def test_duplicate_submission_runs_once_and_answers_both(self):
         async def main(fleet):
             answers = []
 
-            async def hand_in():
+            async def submit_job():
                 answers.append(await fleet.submit("entry-1", job("a")))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(hand_in)
-                nursery.start_soon(hand_in)
+                nursery.start_soon(submit_job)
+                nursery.start_soon(submit_job)
             assert [a.outcome for a in answers] == [JobOutcome.SUCCEEDED] * 2
             assert len(fleet.history) == 4
 
         run_fleet(main)
 
-    def test_whose_task_fails_too_often_has_failed(self):
+    def test_job_fails_after_max_attempts_of_a_task(self):
         async def main(fleet):
             for upstream in fleet.upstreams.values():
                 upstream.behaviour.fails = True
@@ -92,7 +92,7 @@
 
         run_fleet(main)
 
-    def test_that_one_upstream_fails_is_done_by_another(self):
+    def test_task_failed_by_one_upstream_succeeds_on_another(self):
         async def main(fleet):
             fleet.upstreams["agent-1"].behaviour.fails = True
             for number in range(6):
@@ -104,8 +104,8 @@
 
 
 class TestRoom:
-    def test_that_came_unseen_is_told_to_an_entry_that_begins_to_wait(self):
-        """Between two heartbeats another entry's tasks end."""
+    def test_room_freed_between_heartbeats_is_reported_to_waiting_entry(self):
+        """Tasks of another entry end between two heartbeats of the agent."""
 
         async def main(fleet):
             waits = []
@@ -123,8 +123,8 @@
 
 
 class TestRefusal:
-    def test_comes_early_and_says_the_truth(self):
-        """Where there is no room, within a quarter of the objective."""
+    def test_refusal_for_lack_of_room_is_early_and_final(self):
+        """Without room, the refusal comes within a quarter of the objective."""
 
         async def main(fleet):
             async def fill(number):
@@ -143,8 +143,8 @@
 
         run_fleet(main)
 
-    def test_is_never_followed_by_a_start(self):
-        """Room that comes between the refusal and its answer must not be used."""
+    def test_room_after_refusal_does_not_start_refused_job(self):
+        """Room that appears between the refusal and its response must not be used."""
 
         async def main(fleet):
             jobs = fleet.entries["entry-1"].jobs
@@ -160,17 +160,17 @@
                 jobs.jobs[spec.id].finish(JobOutcome.REFUSED, "no room in time")
                 for address, link in links.items():
                     link.room = rooms[address]
-                jobs.pump()
+                jobs.place_waiting_jobs()
             await trio.sleep(0.5)
             assert fleet.history == []
 
         run_fleet(main)
 
-    def test_of_many_in_a_burst_is_true(self):
+    def test_refused_jobs_of_a_burst_never_start(self):
         async def main(fleet):
             refused = []
 
-            async def hand_in(number):
+            async def submit_job(number):
                 spec = job(f"j{number}", tasks=3, work=0.15)
                 answer = await fleet.submit(f"entry-{number % 2 + 1}", spec)
                 if answer.outcome is JobOutcome.REFUSED:
@@ -178,7 +178,7 @@
 
             async with trio.open_nursery() as nursery:
                 for number in range(400):
-                    nursery.start_soon(hand_in, number)
+                    nursery.start_soon(submit_job, number)
                     await trio.sleep(0.002)
             await trio.sleep(1.0)
             assert refused
@@ -187,7 +187,7 @@
 
         run_fleet(main, agents=2)
 
-    def test_of_a_job_that_no_upstream_is_large_enough_for_is_immediate(self):
+    def test_job_too_large_for_any_upstream_is_refused_immediately(self):
         async def main(fleet):
             begun = trio.current_time()
             step = StepSpec(1, CAPACITY + NEEDS, 0.2)
@@ -198,7 +198,7 @@
 
         run_fleet(main)
 
-    def test_of_a_job_whose_caller_leaves_too_soon_is_immediate(self):
+    def test_job_longer_than_caller_timeout_is_refused(self):
         async def main(fleet):
             answer = await fleet.submit("entry-1", job("a", work=1.0), seconds=0.2)
             assert answer.outcome is JobOutcome.REFUSED
@@ -206,7 +206,7 @@
 
         run_fleet(main)
 
-    def test_of_a_job_that_a_stopping_entry_cannot_finish_is_immediate(self):
+    def test_stopping_entry_refuses_job_that_it_cannot_finish(self):
         async def main(fleet):
             entry = fleet.entries["entry-1"]
             entry.jobs.ends_at = entry.timers.now() + 1.0
--- a/bergamotcourse/tests/jobs/test_near_data.py
+++ b/bergamotcourse/tests/jobs/test_near_data.py
@@ -1,10 +1,10 @@
-"""Tasks whose data is in one rack, and what they and the others get."""
+"""Placement of tasks whose data is in one rack, and its effect on other tasks."""
 
 import trio
 
 from bergamotcourse.coordination.jobs.job_run import JobOutcome
 from bergamotcourse.coordination.jobs.policy import JobPolicy
-from bergamotcourse.coordination.jobs.rack_demand import RACK_SECONDS, RackDemand
+from bergamotcourse.coordination.jobs.rack_demand import RACK_DEMAND_SECONDS, RackDemand
 from bergamotcourse.tests.jobs.fleets import run_fleet
 from bergamotcourse.virtual.job_fleet import QUEUE, REMOTE_FACTOR, job
 
@@ -19,20 +19,20 @@
 
 
 def fill_rack(fleet, work):
-    """Take all the room of rack-3 for so many seconds."""
+    """Occupy all room of rack-3 for ``work`` seconds."""
     full = job("full", tasks=10, work=work, rack="rack-3")
     fleet.nursery.start_soon(fleet.submit, "entry-1", full)
 
 
-class TestPlacing:
-    def test_tasks_run_near_their_data(self):
+class TestPlacement:
+    def test_tasks_run_in_rack_of_their_data(self):
         async def main(fleet):
             await fleet.submit("entry-1", job("a", tasks=8, rack="rack-3"))
             assert set(racks_of(fleet, "a")) == {"rack-3"}
 
         run_fleet(main, **FLEET)
 
-    def test_others_leave_the_rack_to_them(self):
+    def test_other_tasks_avoid_rack_in_demand(self):
         async def main(fleet):
             await fleet.submit("entry-1", job("a", tasks=2, rack="rack-3"))
             await fleet.submit("entry-1", job("b", tasks=30))
@@ -40,7 +40,7 @@
 
         run_fleet(main, **FLEET)
 
-    def test_others_take_it_where_there_is_no_other_room(self):
+    def test_other_tasks_use_rack_in_demand_when_others_are_full(self):
         async def main(fleet):
             await fleet.submit("entry-1", job("a", tasks=2, rack="rack-3"))
             answer = await fleet.submit("entry-1", job("b", tasks=40))
@@ -48,8 +48,8 @@
 
         run_fleet(main, **FLEET)
 
-    def test_they_run_elsewhere_where_that_is_in_time(self):
-        """The rack is full for long, and the job has time for the longer run."""
+    def test_tasks_run_remotely_when_rack_is_full_and_time_suffices(self):
+        """The rack stays full, and the job has time for the longer remote run."""
 
         async def main(fleet):
             fill_rack(fleet, work=3.0)
@@ -63,7 +63,7 @@
 
         run_fleet(main, **FLEET)
 
-    def test_they_wait_for_the_rack_where_elsewhere_is_too_late(self):
+    def test_tasks_wait_for_rack_when_remote_run_would_be_late(self):
         async def main(fleet):
             fill_rack(fleet, work=0.5)
             await trio.sleep(0.4)
@@ -76,7 +76,7 @@
 
         run_fleet(main, **FLEET)
 
-    def test_while_they_wait_jobs_behind_them_are_placed(self):
+    def test_job_waiting_for_rack_does_not_block_later_jobs(self):
         async def main(fleet):
             fill_rack(fleet, work=0.5)
             await trio.sleep(0.3)
@@ -91,9 +91,9 @@
 
 
 class TestHotRack:
-    """Half of all jobs want the data of one rack of four."""
+    """Half of all jobs need data that is in one of two racks."""
 
-    async def play(self, fleet):
+    async def run_load(self, fleet):
         in_time = []
 
         async def submit(spec):
@@ -111,22 +111,23 @@
         await trio.sleep(2.0)
         return sum(in_time)
 
-    def test_more_jobs_are_in_time_than_without_regard_to_the_data(self):
+    def test_more_jobs_in_time_than_without_data_placement(self):
         without = JobPolicy.without(["places_near_data"])
         apart = JobPolicy.without(["places_near_data", "keeps_jobs_together"])
         shape = {"agents": 4, "racks": 2}
-        in_time = run_fleet(self.play, **shape)
+        in_time = run_fleet(self.run_load, **shape)
         assert in_time >= 115
-        # A job that is kept together is in the wrong rack as a whole, or not at all.
-        assert run_fleet(self.play, policy=without, **shape) <= in_time - 15
-        assert run_fleet(self.play, policy=apart, **shape) <= 90
+        # A job whose tasks are kept together is either entirely in the wrong rack or
+        # not at all.
+        assert run_fleet(self.run_load, policy=without, **shape) <= in_time - 15
+        assert run_fleet(self.run_load, policy=apart, **shape) <= 90
 
 
 class TestRackDemand:
-    def test_a_rack_is_wanted_for_a_while(self):
+    def test_request_expires(self):
         demand = RackDemand()
-        assert demand.wanted(0.0) == frozenset()
-        demand.note("rack-1", 1.0)
-        demand.note("rack-2", 1.5)
-        assert demand.wanted(1.6) == {"rack-1", "rack-2"}
-        assert demand.wanted(1.1 + RACK_SECONDS) == {"rack-2"}
+        assert demand.racks_in_demand(0.0) == frozenset()
+        demand.record_request("rack-1", 1.0)
+        demand.record_request("rack-2", 1.5)
+        assert demand.racks_in_demand(1.6) == {"rack-1", "rack-2"}
+        assert demand.racks_in_demand(1.1 + RACK_DEMAND_SECONDS) == {"rack-2"}
--- a/bergamotcourse/tests/jobs/test_placement.py
+++ b/bergamotcourse/tests/jobs/test_placement.py
@@ -1,5 +1,8 @@
 from bergamotcourse.coordination.jobs.agent_link import AgentLink
-from bergamotcourse.coordination.jobs.placement import PlacementRequest, choose
+from bergamotcourse.coordination.jobs.placement import (
+    PlacementRequest,
+    choose_in_contact,
+)
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.task_messages import AgentRoom
 from bergamotcourse.protocol.upstream_orders import RunKey
@@ -29,34 +32,34 @@
     )
 
 
-def chosen(links, **request):
-    link = choose(links, make_request(**request))
+def chosen_name(links, **request):
+    link = choose_in_contact(links, make_request(**request))
     return link and link.name
 
 
-class TestChoose:
-    def test_the_emptier_of_equals(self):
-        assert chosen([make_link("a", 9_000), make_link("b", 3_000)]) == "b"
+class TestChooseInContact:
+    def test_prefers_less_loaded_agent(self):
+        assert chosen_name([make_link("a", 9_000), make_link("b", 3_000)]) == "b"
 
-    def test_the_own_zone_of_equals(self):
-        assert chosen([make_link("a", zone="south"), make_link("b")]) == "b"
+    def test_prefers_own_zone_at_equal_load(self):
+        assert chosen_name([make_link("a", zone="south"), make_link("b")]) == "b"
 
-    def test_none_that_has_no_room(self):
-        assert chosen([make_link("a", 30_000)]) is None
+    def test_rejects_agent_without_room(self):
+        assert chosen_name([make_link("a", 30_000)]) is None
 
-    def test_none_of_another_service(self):
-        assert chosen([make_link("a", service="loans")]) is None
+    def test_rejects_agent_of_another_service(self):
+        assert chosen_name([make_link("a", service="loans")]) is None
 
-    def test_none_where_it_failed(self):
-        assert chosen([make_link("a"), make_link("b", 9_000)], avoid=["a"]) == "b"
+    def test_skips_avoided_agent(self):
+        assert chosen_name([make_link("a"), make_link("b", 9_000)], avoid=["a"]) == "b"
 
-    def test_only_those_with_the_label(self):
+    def test_requires_label(self):
         links = [make_link("a"), make_link("b", 9_000, labels=("gpu", "r1"))]
-        assert chosen(links, label="gpu") == "b"
+        assert chosen_name(links, label="gpu") == "b"
 
-    def test_counts_what_was_just_placed(self):
+    def test_counts_pending_runs_as_load(self):
         a, b = make_link("a"), make_link("b", 1_000)
         a.add(RunKey(TaskName("t"), 1), NEEDS, "owner")
-        assert chosen([a, b]) == "b"
+        assert chosen_name([a, b]) == "b"
         a.drop(RunKey(TaskName("t"), 1))
-        assert chosen([a, b]) == "a"
+        assert chosen_name([a, b]) == "a"
--- a/bergamotcourse/tests/jobs/test_upstream_rows.py
+++ b/bergamotcourse/tests/jobs/test_upstream_rows.py
@@ -30,7 +30,7 @@
         store = Store()
         rows = UpstreamRows(store, random.Random(1), EventLog(lambda *_: None))
         for report in reports:
-            await rows.keep(AGENT, report)
+            await rows.store_report(AGENT, report)
         return store.kept
 
     return trio.run(main)
--- a/bergamotcourse/tests/platform/test_configuration_in_force.py
+++ b/bergamotcourse/tests/platform/test_configuration_in_force.py
@@ -67,7 +67,7 @@
             self.address, self.mailer, Timers(rng), self.queues, zones, log, rng
         )
         self.peers.agents = lambda: [LinkAddress("udp://10.0.1.1:7720")]
-        self.mailer.handler = self.peers.take
+        self.mailer.handler = self.peers.handle_message
         self.feed = ConfigFeed(
             client, self.queues, zones, rng, log, lambda: len(self.peers.peers)
         )
@@ -81,7 +81,7 @@
             nursery.start_soon(self.feed.run)
             nursery.start_soon(self.rows.announce, self.address)
             nursery.start_soon(self.upstreams.read)
-            nursery.start_soon(self.rows.follow, self.peers.learn)
+            nursery.start_soon(self.rows.poll_entries, self.peers.learn)
 
 
 class Fleet:
--- a/bergamotcourse/virtual/job_fleet.py
+++ b/bergamotcourse/virtual/job_fleet.py
@@ -232,7 +232,7 @@
             "zone-1", self.links, self.timers, self.log, fleet.policy, REMOTE_FACTOR
         )
         self.mailer.handler = self._handle
-        self.zones.on_change = self.jobs.take_evacuations
+        self.zones.on_change = self.jobs.handle_evacuations
 
     async def run(self) -> None:
         """Run until killed."""
