--- a/bergamotcourse/coordination/jobs/__init__.py
+++ b/bergamotcourse/coordination/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs whose tasks need resources, run by upstreams that take orders."""
+"""Dispatch of jobs whose tasks need resources, run on upstreams by start orders."""
--- a/bergamotcourse/coordination/jobs/agent_link.py
+++ b/bergamotcourse/coordination/jobs/agent_link.py
@@ -14,10 +14,10 @@
 
 from bergamotcourse.coordination.jobs.item_stream import Incoming, Outgoing
 from bergamotcourse.coordination.jobs.lease_terms import (
-    OPEN_SECONDS,
-    OVER_SECONDS,
-    REACH_SECONDS,
-    SILENT_SECONDS,
+    AGENT_SILENCE_SECONDS,
+    ALL_RUNS_ENDED_SECONDS,
+    CONTACT_LOST_SECONDS,
+    FIRST_PLACEMENT_TIMEOUT_SECONDS,
 )
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.task_messages import (
@@ -84,15 +84,20 @@
     def in_contact(self, now: float) -> bool:
         """Return whether runs that are placed there start at once."""
         silent = now - self.heard_at
-        return silent <= SILENT_SECONDS and not self.over and self.room is not None
+        return (
+            silent <= AGENT_SILENCE_SECONDS and not self.over and self.room is not None
+        )
 
     def may_start_at_once(self, now: float) -> bool:
         """Return whether an echo from before may still give contact."""
-        return now - self.heard_at < REACH_SECONDS
+        return now - self.heard_at < CONTACT_LOST_SECONDS
 
     def is_opening(self, now: float) -> bool:
         """Return whether it may answer a placement without contact yet."""
-        return self.opened_at is not None and now - self.opened_at < OPEN_SECONDS
+        return (
+            self.opened_at is not None
+            and now - self.opened_at < FIRST_PLACEMENT_TIMEOUT_SECONDS
+        )
 
     def is_usable(self, now: float) -> bool:
         """Return whether it is in contact, or about to be."""
@@ -103,12 +108,16 @@
         if self.over or self.unanswered or self.placed or self.room is None:
             return False
         silent = now - self.heard_at
-        return SILENT_SECONDS < silent <= MISSED_MESSAGES * self.next + REACH_SECONDS
+        return (
+            AGENT_SILENCE_SECONDS
+            < silent
+            <= MISSED_MESSAGES * self.next + CONTACT_LOST_SECONDS
+        )
 
     def may_open(self, now: float) -> bool:
         """Return whether a run may be placed there without contact.
 
-        Not before ``REACH_SECONDS``: an echo sent before may give contact until then.
+        Not before ``CONTACT_LOST_SECONDS``: an echo sent before may give contact until then.
         """
         return self.may_ask(now) and not self.may_start_at_once(now)
 
@@ -116,7 +125,7 @@
         """Return whether all runs there are over, whatever became of the agent."""
         if self.over or self.opened_at is not None or not self.placed:
             return False
-        return now - self.heard_at > OVER_SECONDS
+        return now - self.heard_at > ALL_RUNS_ENDED_SECONDS
 
     def note_opening(self, now: float) -> None:
         """Note that what is placed now waits for an answer, if it surely does.
--- a/bergamotcourse/coordination/jobs/agent_links.py
+++ b/bergamotcourse/coordination/jobs/agent_links.py
@@ -11,7 +11,7 @@
 from bergamotcourse.coordination.jobs.agent_link import AgentLink
 from bergamotcourse.coordination.jobs.agent_order import AgentOrder
 from bergamotcourse.coordination.jobs.evacuated_zones import EvacuatedZones
-from bergamotcourse.coordination.jobs.lease_terms import ECHO_SECONDS
+from bergamotcourse.coordination.jobs.lease_terms import MAX_ECHO_DELAY_SECONDS
 from bergamotcourse.coordination.jobs.send_soon import SendSoon
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import LinkAddress
@@ -30,7 +30,7 @@
 from bergamotcourse.state.resources import Resources
 
 TICK_SECONDS = 0.03
-"""Between two looks at what is due; half of ``ECHO_SECONDS``."""
+"""Between two looks at what is due; half of ``MAX_ECHO_DELAY_SECONDS``."""
 
 FORGET_SECONDS = 30.0
 """An agent that was silent for so long is forgotten."""
@@ -278,7 +278,10 @@
             return False
         if link.out.is_late(now):
             return True
-        return not link.echoed and now - link.sent_at >= ECHO_SECONDS - TICK_SECONDS
+        return (
+            not link.echoed
+            and now - link.sent_at >= MAX_ECHO_DELAY_SECONDS - TICK_SECONDS
+        )
 
     def _mark(self, link: AgentLink) -> None:
         self.soon.mark(link.address)
--- a/bergamotcourse/coordination/jobs/contacts.py
+++ b/bergamotcourse/coordination/jobs/contacts.py
@@ -1,7 +1,7 @@
 """The agent's contacts with entries: sessions, leases and what is sent to each.
 
 An agent keeps the runs of an entry only while that entry answers. When it has not for
-``CONTACT_SECONDS``, the agent ends its runs and begins a new session; nothing that was
+``CONTACT_LEASE_SECONDS``, the agent ends its runs and begins a new session; nothing that was
 sent in the former one is taken any more. An entry without runs here needs no lease: its
 next run is held until it has echoed a message that was sent after the run came.
 """
@@ -79,8 +79,8 @@
         self.zones = EvacuatedZones(log)
         self.zones.on_change = self._zones_changed
         self.soon = SendSoon(self._send_to)
-        executor.book.report_end = self.report_end
-        executor.book.room_changed = self.room_changed
+        executor.registry.report_end = self.report_end
+        executor.registry.room_changed = self.room_changed
         executor.may_start = self.in_contact
         mailer.handler = self.handle
 
@@ -252,7 +252,7 @@
         if contact.lease_end is None or contact.has_lease(lease_now):
             return False
         contact.lease_end = None
-        if not self.executor.book.has_runs_of(contact.address):
+        if not self.executor.registry.has_runs_of(contact.address):
             return False
         self._end_session(contact, "no answer in time")
         return True
@@ -265,7 +265,7 @@
             why=why,
         )
         contact.begin_session()
-        self.executor.withdraw_all(contact.address, why)
+        self.executor.withdraw_runs_of_entry(contact.address, why)
         self._mark(contact)
 
     def _forget(self, address: LinkAddress, why: str) -> None:
@@ -273,7 +273,7 @@
         if contact is None:
             return
         self.log.write("entry.forgotten", entry=address, why=why)
-        self.executor.withdraw_all(address, why)
+        self.executor.withdraw_runs_of_entry(address, why)
         self.mailer.forget(address)
 
     # What is sent.
@@ -288,7 +288,7 @@
                 self._mark(contact)
 
     def _period(self, contact: EntryContact, now: float) -> float:
-        has_runs = self.executor.book.has_runs_of(contact.address)
+        has_runs = self.executor.registry.has_runs_of(contact.address)
         return contact.period(has_runs, now, len(self.entries))
 
     def _mark(self, contact: EntryContact) -> None:
@@ -322,19 +322,19 @@
 
     def _left_by_others(self, contact: EntryContact) -> int:
         """Return the processor room for an entry, with what it has already."""
-        book = self.executor.book
+        book = self.executor.registry
         others = book.committed().cpu - book.committed(contact.address).cpu
         return self.executor.capacity().cpu - others
 
     def _room(self, entry: LinkAddress) -> AgentRoom:
         executor = self.executor
         life = executor.life
-        committed = executor.book.committed()
+        committed = executor.registry.committed()
         return AgentRoom(
             service=life.report.service if life else "",
             labels=life.report.labels if life else (),
             capacity=offered_capacity(executor, committed, self.timers.now()),
             committed=committed,
-            yours=executor.book.committed(entry),
+            yours=executor.registry.committed(entry),
             on_trial=executor.health.on_trial(),
         )
--- a/bergamotcourse/coordination/jobs/entry_contact.py
+++ b/bergamotcourse/coordination/jobs/entry_contact.py
@@ -12,12 +12,12 @@
 
 from bergamotcourse.coordination.jobs.item_stream import Incoming, Outgoing
 from bergamotcourse.coordination.jobs.lease_terms import (
-    CONFIRM_SECONDS,
-    CONTACT_SECONDS,
+    CONTACT_LEASE_SECONDS,
     HEARTBEAT_SECONDS,
     IDLE_HEARTBEAT_SECONDS,
     IDLE_MESSAGES_PER_SECOND,
-    WARM_SECONDS,
+    MAX_ACK_DELAY_SECONDS,
+    RECENT_ENTRY_SECONDS,
 )
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.task_messages import EntryTurn, PlaceTask, TaskEnded
@@ -73,11 +73,11 @@
         """Return the new items of a message."""
         fresh = self.incoming.accept(turn.first, turn.items)
         if fresh:
-            self.warm_until = now + WARM_SECONDS
+            self.warm_until = now + RECENT_ENTRY_SECONDS
             if self.unconfirmed_since is None:
                 self.unconfirmed_since = now
         if turn.waiting:
-            self.warm_until = now + WARM_SECONDS
+            self.warm_until = now + RECENT_ENTRY_SECONDS
         return fresh
 
     def may_release(self, turn: EntryTurn, lease_now: float) -> bool:
@@ -140,7 +140,7 @@
     def is_owed(self, now: float) -> bool:
         """Return whether an item or a confirmation is overdue."""
         since = self.unconfirmed_since
-        unconfirmed = since is not None and now - since >= CONFIRM_SECONDS
+        unconfirmed = since is not None and now - since >= MAX_ACK_DELAY_SECONDS
         return unconfirmed or self.out.is_late(now)
 
     def is_due(self, period: float, now: float) -> bool:
@@ -151,4 +151,4 @@
 
 def lease_end_of(turn: EntryTurn) -> float:
     """Return until when a message extends the lease, on the agent's clock."""
-    return turn.echo_ms / 1000 + CONTACT_SECONDS
+    return turn.echo_ms / 1000 + CONTACT_LEASE_SECONDS
--- a/bergamotcourse/coordination/jobs/executor.py
+++ b/bergamotcourse/coordination/jobs/executor.py
@@ -1,7 +1,11 @@
-"""The agent's executor: the only one that gives orders to its upstream.
+"""The agent's executor, the only component that sends orders to the agent's upstream.
 
-It queues placed runs for room, starts them, renews the upstream's lease, stops what
-must end, and reports exactly one outcome for each run.
+It queues placed runs until the upstream has room, starts them, renews the upstream's
+lease, stops runs that must end, and reports exactly one outcome for each run.
+
+A *life* of an upstream is the time between one start of it and its end. An incarnation
+number tells the lives of one upstream apart. A *hold* is a request to the upstream that
+may renew its lease, acknowledges the ends of runs, and lists what runs there.
 """
 
 from collections.abc import Callable
@@ -10,19 +14,22 @@
 import trio
 
 from bergamotcourse.coordination.event_log import EventLog
-from bergamotcourse.coordination.jobs.holding_reader import HoldingReader
+from bergamotcourse.coordination.jobs.holding_reconciler import HoldingReconciler
 from bergamotcourse.coordination.jobs.known_lives import (
     KnownLives,
     ReportKind,
-    ends_life,
+    is_departure_of_life,
 )
 from bergamotcourse.coordination.jobs.lease_terms import (
     HOLD_TIMEOUT_SECONDS,
-    LAPSE_SECONDS,
+    UPSTREAM_LEASE_EXPIRY_SECONDS,
+)
+from bergamotcourse.coordination.jobs.order_sender import (
+    ORDER_RETRY_SECONDS,
+    OrderSender,
 )
-from bergamotcourse.coordination.jobs.order_giver import RETRY_SECONDS, OrderGiver
 from bergamotcourse.coordination.jobs.policy import JobPolicy
-from bergamotcourse.coordination.jobs.run_book import RunBook
+from bergamotcourse.coordination.jobs.run_registry import RunRegistry
 from bergamotcourse.coordination.jobs.task_runs import PlacedRun, RunState
 from bergamotcourse.coordination.jobs.upstream_health import UpstreamHealth
 from bergamotcourse.coordination.jobs.upstream_life import UpstreamLife
@@ -40,39 +47,45 @@
 )
 from bergamotcourse.state.resources import NOTHING, Resources
 
-ROOM_PAUSE_SECONDS = 0.02
-"""Pause after the upstream had no room although the agent counted some."""
+NO_ROOM_BACKOFF_SECONDS = 0.02
+"""Delay before the next start after the upstream refused one for lack of room, although
+the agent had computed that there was some."""
 
-DOUBTED_HOLDS = 2
-"""Renewals in a row without an answer from which on nothing is started: where one order
-in twenty gets lost that happens for 0.1 s in ten seconds."""
+START_PAUSE_FAILED_HOLDS = 2
+"""Consecutive unanswered holds after which no run is started. If one order in twenty is
+lost, this pauses starts for 0.1 s in ten seconds."""
 
 IDLE_RETRY_SECONDS = 0.25
-"""Pause before a silent upstream on which nothing runs is asked again."""
+"""Delay before the next hold to a silent upstream on which nothing runs."""
 
-LOOK_SECONDS = 0.5
-"""Pause between two looks at an upstream that does not answer."""
+LEASE_CHECK_SECONDS = 0.5
+"""Interval of the checks whether the lease of an unresponsive upstream has expired."""
 
-STARTED_AGAIN = "it has started again"
-REPLACED = "another upstream at its place"
-OTHER_BOOT = "another boot answers at its address"
-"""Why a life is over that has not said so."""
+RESTARTED_REASON = "it has restarted"
+REPLACED_REASON = "another upstream has replaced it"
+OTHER_BOOT_REASON = "another boot answers at its address"
+"""Logged reasons for the end of a life that did not announce its departure."""
 
 
 class Executor:
     """Runs tasks on one upstream.
 
     Attributes:
-        connect: Returns the port to one life of an upstream.
-        book: The runs.
-        may_start: Asked right before an order to start whether the entry that placed
-            the run is still in contact.
-        lives: The lives of upstreams that were here.
-        reader: Takes what the upstream lists.
-        born: When this process began; runs of an earlier one are over
-            ``LAPSE_SECONDS`` after it.
-        stopping: Nothing new is taken.
-        evacuated: Nothing new is taken, as the operator has evacuated the zone.
+        connect: Returns the port that sends orders to one life of an upstream.
+        registry: The runs without an outcome.
+        order_sender: Sends orders to the upstream.
+        may_start: Called right before a start order; returns whether the entry that
+            placed the run is still in contact.
+        process_started_at: Start of this process, by the lease clock. Runs of an
+            earlier process have ended ``UPSTREAM_LEASE_EXPIRY_SECONDS`` later.
+        life: The current life of the upstream; ``None`` without an upstream.
+        lives: The lives of upstreams that this agent has seen.
+        reconciler: Applies the lists of runs and ends in the upstream's answers.
+        hold_count: Holds begun so far, also the number of the latest.
+        paused_until: No run is started before this time.
+        stopping: The agent is stopping and accepts no runs.
+        evacuated: The operator has evacuated the zone; no runs are accepted.
+        wake: Set when there may be a reason for a hold.
     """
 
     def __init__(
@@ -86,14 +99,14 @@
         self.connect = connect
         self.timers = timers
         self.log = log
-        self.book = RunBook(log)
-        self.giver = OrderGiver(timers, self.policy.learns_answer_time)
+        self.registry = RunRegistry(log)
+        self.order_sender = OrderSender(timers, self.policy.learns_answer_time)
         self.may_start: Callable[[LinkAddress], bool] = lambda _entry: True
-        self.born = timers.lease_now()
+        self.process_started_at = timers.lease_now()
         self.life: UpstreamLife | None = None
         self.lives = KnownLives()
-        self.reader = HoldingReader(self.book, timers, log)
-        self.holds = 0
+        self.reconciler = HoldingReconciler(self.registry, timers, log)
+        self.hold_count = 0
         self.paused_until = 0.0
         self.stopping = False
         self.evacuated = False
@@ -102,27 +115,27 @@
         self.wake = trio.Event()
 
     def _new_health(self) -> UpstreamHealth:
-        return UpstreamHealth(tries=self.policy.tries_upstreams)
+        return UpstreamHealth(trials_enabled=self.policy.tries_upstreams)
 
-    # What the agent is told.
+    # Reports and requests.
 
-    def take_report(self, report: UpstreamReport) -> bool:
-        """Take an upstream's report of itself; false if it is of a former life."""
-        kind = self.lives.judge(self.life and self.life.report, report)
+    def handle_upstream_report(self, report: UpstreamReport) -> bool:
+        """Apply an upstream's report; return false if it is of a former life."""
+        kind = self.lives.classify_report(self.life and self.life.report, report)
         match kind:
-            case ReportKind.NEWS:
+            case ReportKind.CURRENT:
                 self._update(self.life, report)
-            case ReportKind.OVERTAKEN | ReportKind.FORMER:
-                self._pass_over(report, kind)
+            case ReportKind.OUTDATED | ReportKind.FORMER_LIFE:
+                self._log_old_report(report, kind)
             case ReportKind.NEXT_LIFE:
                 if self.life is not None:
                     again = self.life.report.id == report.id
-                    self._end_life(STARTED_AGAIN if again else REPLACED)
+                    self._end_life(RESTARTED_REASON if again else REPLACED_REASON)
                 self._begin_life(report)
-        return kind is not ReportKind.FORMER
+        return kind is not ReportKind.FORMER_LIFE
 
-    def _pass_over(self, report: UpstreamReport, kind: ReportKind) -> None:
-        """Tell of a report that says nothing new."""
+    def _log_old_report(self, report: UpstreamReport, kind: ReportKind) -> None:
+        """Log a report that is ignored as out of date."""
         last = self.life.report if self.life else None
         self.log.write(
             "upstream.report_old",
@@ -135,8 +148,8 @@
             last_incarnation=last and last.incarnation,
         )
 
-    async def recall(self, report: UpstreamReport) -> None:
-        """Take up an upstream by a former report, if that life still answers."""
+    async def recall_upstream(self, report: UpstreamReport) -> None:
+        """Adopt the upstream of a stored report if that life still answers."""
         port = self.connect(report)
         answer = await port.hold(0, None, 0.0, HOLD_TIMEOUT_SECONDS)
         await port.aclose()
@@ -148,11 +161,11 @@
             replace(report, clock=answer.clock, sequence=0, incarnation=incarnation)
         )
 
-    def take_departure(self, gone: LifeKey) -> None:
-        """Take the planned end of an upstream."""
+    def handle_upstream_departure(self, gone: LifeKey) -> None:
+        """Handle an upstream's notice of its planned end."""
         if self.life is None:
             return
-        if ends_life(self.life.report.life, gone):
+        if is_departure_of_life(self.life.report.life, gone):
             self._end_life("it left", Outcome.LOST)
             return
         self.log.write(
@@ -163,61 +176,64 @@
         )
 
     def set_evacuated(self, evacuated: bool) -> None:
-        """Take the word whether this upstream's zone is evacuated.
+        """Set whether this upstream's zone is evacuated.
 
-        What runs goes on to its end.
+        Queued runs are returned; started runs continue to their end.
         """
         self.evacuated = evacuated
         if evacuated:
-            self.book.return_waiting("the zone is evacuated")
+            self.registry.return_queued_runs("the zone is evacuated")
 
     def place(self, entry: LinkAddress, order: PlaceTask) -> None:
-        """Take a run that an entry places."""
-        if order.key in self.book.runs:
+        """Queue a run that an entry places, or return it if none is accepted now.
+
+        A repeated placement of a known run is ignored.
+        """
+        if order.key in self.registry.runs:
             return
         run = PlacedRun(order.key, entry, order, self.timers.now())
-        self.book.add(run)
+        self.registry.add(run)
         refusal = self.refusal()
         if refusal is not None:
-            self.book.finish(run, Outcome.RETURNED, refusal)
+            self.registry.finish(run, Outcome.RETURNED, refusal)
             return
-        self.book.enqueue(run)
-        self.pump()
+        self.registry.enqueue(run)
+        self.start_queued_runs()
         if run.state is RunState.QUEUED and self.nursery is not None:
             self.nursery.start_soon(self._return_after, run, order.patience / 1000)
 
     def withdraw(self, entry: LinkAddress, key: RunKey) -> None:
-        """End a run, or bar one that is unknown here."""
-        run = self.book.runs.get(key)
+        """Stop a run, or bar it from starting if it is unknown here."""
+        run = self.registry.runs.get(key)
         if run is None:
             self._withdraw_unknown(entry, key)
             return
         self._stop(run, "withdrawn")
 
     def _withdraw_unknown(self, entry: LinkAddress, key: RunKey) -> None:
-        """End a run that this process has not started, but a former one may have."""
+        """Stop a run that an earlier process of this agent may have started."""
         run = PlacedRun(key, entry, None, self.timers.now(), RunState.STOPPING)
-        run.asked_start = True
-        self.book.add(run)
-        if not self.reader.finish_former(run):
-            # An order of the former process may still be on its way.
+        run.start_ordered = True
+        self.registry.add(run)
+        if not self.reconciler.finish_former_run(run):
+            # A start order of the earlier process may still be in flight.
             self._spawn_stop(run)
 
-    def withdraw_all(self, entry: LinkAddress, why: str) -> None:
-        """End all runs of an entry."""
-        for run in self.book.all():
+    def withdraw_runs_of_entry(self, entry: LinkAddress, why: str) -> None:
+        """Stop all runs of an entry."""
+        for run in self.registry.all():
             if run.entry == entry:
                 self._stop(run, why)
 
-    def stop_all(self, why: str) -> None:
+    def stop_all_runs(self, why: str) -> None:
         """Stop all runs."""
-        for run in self.book.all():
+        for run in self.registry.all():
             self._stop(run, why)
 
-    # What the agent may ask.
+    # State.
 
     def refusal(self) -> str | None:
-        """Return why no task is taken now, or ``None``."""
+        """Return why no run is accepted now, or ``None`` if runs are accepted."""
         if self.stopping:
             return "the agent is stopping"
         if self.evacuated:
@@ -231,38 +247,42 @@
         return None
 
     def capacity(self) -> Resources:
-        """Return what can be placed at most, nothing while no task is taken."""
+        """Return the upstream's capacity, or nothing while no run is accepted."""
         if self.refusal() is not None:
             return NOTHING
         return self.life.report.capacity
 
     # Queue and starts.
 
-    def pump(self) -> None:
-        """Start what fits, in the order of rank."""
+    def start_queued_runs(self) -> None:
+        """Start queued runs that fit, in the order of their rank."""
         if self.nursery is None or self.refusal() is not None:
             return
-        if self.timers.now() < self.paused_until or self._hesitates():
+        if self.timers.now() < self.paused_until or self._starts_paused():
             return
         capacity = self.life.report.capacity
-        while (run := self.book.next_that_fits(capacity)) is not None:
+        while (run := self.registry.dequeue_fitting_run(capacity)) is not None:
             if not self.may_start(run.entry):
-                self.book.finish(
+                self.registry.finish(
                     run, Outcome.RETURNED, "contact with the entry is lost"
                 )
                 continue
             self._start(run)
 
-    def _hesitates(self) -> bool:
-        """Return whether nothing is started, as several renewals had no answer.
+    def _starts_paused(self) -> bool:
+        """Return whether starts are paused because several holds had no answer.
 
-        Each order to start renews the lease; what waits goes elsewhere meanwhile.
+        Each start order renews the lease of an upstream that may be lost. Queued runs
+        can be placed on other upstreams meanwhile.
         """
-        doubted = self.life.failed_holds >= DOUBTED_HOLDS
-        return self.policy.doubts_at_once and doubted
+        too_many_failed = self.life.failed_holds >= START_PAUSE_FAILED_HOLDS
+        return self.policy.doubts_at_once and too_many_failed
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Serve the upstream until cancelled; started once reports can be taken."""
+        """Serve the upstream until cancelled.
+
+        ``task_status`` is started once upstream reports can be handled.
+        """
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             task_status.started()
@@ -272,15 +292,17 @@
                     await self._hold(self.life)
 
     def _start(self, run: PlacedRun) -> None:
-        self.book.occupy(run)
+        self.registry.reserve_room(run)
         self.nursery.start_soon(self._order_start, run, self.life)
 
     async def _order_start(self, run: PlacedRun, life: UpstreamLife) -> None:
-        verdict = await self.giver.start(run, life, lambda: self.may_start(run.entry))
-        if self.book.has(run) and life is self.life:
-            self._take_verdict(run, verdict)
+        verdict = await self.order_sender.start(
+            run, life, lambda: self.may_start(run.entry)
+        )
+        if self.registry.has(run) and life is self.life:
+            self._handle_start_verdict(run, verdict)
 
-    def _take_verdict(self, run: PlacedRun, verdict: StartVerdict) -> None:
+    def _handle_start_verdict(self, run: PlacedRun, verdict: StartVerdict) -> None:
         self.log.write(
             "run.start",
             request=run.order.request,
@@ -293,65 +315,64 @@
             case StartVerdict.STARTED:
                 self._started(run)
             case StartVerdict.UNKNOWN:
-                self._stop(run, "the order to start had no answer")
+                self._stop(run, "no answer to the start order")
             case StartVerdict.NO_ROOM:
                 self._requeue(run)
             case StartVerdict.STALE:
-                self.book.finish(run, Outcome.STALE, verdict.value)
+                self.registry.finish(run, Outcome.STALE, verdict.value)
             case StartVerdict.OTHER_BOOT:
-                self.book.finish(run, Outcome.RETURNED, verdict.value)
-                # At once: until the next report the entries would place at it, and be
-                # refused, over and over.
-                self._end_life(OTHER_BOOT)
+                self.registry.finish(run, Outcome.RETURNED, verdict.value)
+                # Ended at once: until the next report, entries would place runs here
+                # again and again, only to have them returned.
+                self._end_life(OTHER_BOOT_REASON)
             case StartVerdict.UNHEALTHY:
-                self.health.refused(self.timers.now())
-                self.book.finish(run, Outcome.RETURNED, verdict.value)
+                self.health.record_refusal(self.timers.now())
+                self.registry.finish(run, Outcome.RETURNED, verdict.value)
             case _:
-                self.book.finish(run, Outcome.RETURNED, verdict.value)
+                self.registry.finish(run, Outcome.RETURNED, verdict.value)
 
     def _started(self, run: PlacedRun) -> None:
         if run.state is RunState.STARTING:
             run.state = RunState.RUNNING
         run.started_at = run.progress_at = self.timers.now()
-        run.confirmed = self.holds
+        run.start_confirmed_hold = self.hold_count
         self.wake.set()
-        if run.stop_wanted:
+        if run.stop_requested:
             self._spawn_stop(run)
 
     def _requeue(self, run: PlacedRun) -> None:
-        if run.stop_wanted:
-            self.book.finish(run, Outcome.RETURNED, "no room")
+        if run.stop_requested:
+            self.registry.finish(run, Outcome.RETURNED, "no room")
             return
-        self.book.release(run)
-        self.book.enqueue(run)
-        self.paused_until = self.timers.now() + ROOM_PAUSE_SECONDS
-        self.nursery.start_soon(self._pump_after_pause)
+        self.registry.release_room(run)
+        self.registry.enqueue(run)
+        self.paused_until = self.timers.now() + NO_ROOM_BACKOFF_SECONDS
+        self.nursery.start_soon(self._start_queued_runs_after_backoff)
 
     async def _return_after(self, run: PlacedRun, seconds: float) -> None:
-        """Return a run that found no room in time: it may find some elsewhere."""
+        """Return a run to its entry if it is still queued after ``seconds``."""
         await trio.sleep(seconds)
-        if run in self.book.queue:
-            self.book.finish(run, Outcome.RETURNED, "no room")
+        if run in self.registry.queue:
+            self.registry.finish(run, Outcome.RETURNED, "no room")
 
-    async def _pump_after_pause(self) -> None:
-        await trio.sleep(ROOM_PAUSE_SECONDS)
-        self.pump()
+    async def _start_queued_runs_after_backoff(self) -> None:
+        await trio.sleep(NO_ROOM_BACKOFF_SECONDS)
+        self.start_queued_runs()
 
     # Stops.
 
     def _stop(self, run: PlacedRun, why: str) -> None:
-        if run.stop_wanted:
+        if run.stop_requested:
             return
-        run.stop_wanted = True
+        run.stop_requested = True
         self.log.write(
             "run.stop", task=run.key.task, run=run.key.number, why=why, was=run.state
         )
         match run.state:
             case RunState.QUEUED:
-                self.book.finish(run, Outcome.RETURNED, why)
+                self.registry.finish(run, Outcome.RETURNED, why)
             case RunState.STARTING:
-                # The task that orders the start goes on here, once it has an answer,
-                # or has none.
+                # ``_order_start`` continues and still handles the start verdict.
                 run.state = RunState.STOPPING
                 self._spawn_stop(run)
             case RunState.RUNNING:
@@ -359,20 +380,20 @@
                 self._spawn_stop(run)
 
     def _spawn_stop(self, run: PlacedRun) -> None:
-        run.stop_wanted = True
+        run.stop_requested = True
         if self.nursery is not None:
             self.nursery.start_soon(self._order_stop, run)
 
     async def _order_stop(self, run: PlacedRun) -> None:
-        """Stop a run until the upstream says so, or is gone."""
-        while self.book.has(run) and run.barred < 0:
+        """Repeat the stop order until it is confirmed or the run has its outcome."""
+        while self.registry.has(run) and run.stop_confirmed_hold < 0:
             life = self.life
             if life is None:
-                await trio.sleep(RETRY_SECONDS)
-                self._lapse_if_due()
+                await trio.sleep(ORDER_RETRY_SECONDS)
+                self._finish_runs_if_lease_lapsed()
                 continue
-            if await self.giver.stop(run, life):
-                run.barred = self.holds
+            if await self.order_sender.stop(run, life):
+                run.stop_confirmed_hold = self.hold_count
                 self.wake.set()
                 return
 
@@ -381,50 +402,57 @@
     async def _wait_for_work(self) -> None:
         while not self._needs_hold():
             self.wake = trio.Event()
-            with trio.move_on_after(LOOK_SECONDS):
+            with trio.move_on_after(LEASE_CHECK_SECONDS):
                 await self.wake.wait()
-            self._lapse_if_due()
+            self._finish_runs_if_lease_lapsed()
 
     def _needs_hold(self) -> bool:
         life = self.life
         if life is None:
             return False
-        if any(run.asked_start for run in self.book.all()):
+        if any(run.start_ordered for run in self.registry.all()):
             return True
         if life.fenced:
             return False
-        # One that was silent is asked until it answers, also when nothing runs there
-        # any more: without an answer it would be offered no task again. Runs of an
-        # earlier process end too, and their ends are to be noted.
-        return life.failed_holds > 0 or life.noted > life.told or life.listed > 0
+        # An upstream that failed to answer is probed until it does, even if nothing
+        # runs there: without an answer it would get no run again. Ends of runs of an
+        # earlier process must be acknowledged, too.
+        return (
+            life.failed_holds > 0
+            or life.processed_ends > life.acknowledged_ends
+            or life.listed_runs > 0
+        )
 
     async def _hold(self, life: UpstreamLife) -> None:
-        self.holds += 1
-        number = self.holds
-        busy = bool(self.book.runs)
-        renews = busy and not self._doubts(life) and self._may_renew()
-        answer = await self.giver.hold(life, renews, waits=busy or life.listed > 0)
+        self.hold_count += 1
+        number = self.hold_count
+        busy = bool(self.registry.runs)
+        renews = busy and not self._withholds_renewal(life) and self._may_renew()
+        answer = await self.order_sender.hold(
+            life, renews, waits=busy or life.listed_runs > 0
+        )
         if life is not self.life:
             return
         match answer:
             case Holding():
-                if life.hold_answered():
+                if life.record_answered_hold():
                     self.log.write("upstream.answers", upstream=life.report.id)
-                    self.book.room_changed()
+                    self.registry.room_changed()
                 life.fenced = False
-                self._take_holding(life, answer, number)
+                self._handle_holding(life, answer, number)
             case HoldFailure.OTHER_BOOT:
-                self._end_life(OTHER_BOOT)
+                self._end_life(OTHER_BOOT_REASON)
             case _:
                 life.fenced = answer is HoldFailure.FENCED
                 self._hold_failed(life, answer)
                 await trio.sleep(self._pause_after_failure(life, busy))
 
-    def _doubts(self, life: UpstreamLife) -> bool:
-        """Return whether the upstream may be lost: its lease is then not renewed.
+    def _withholds_renewal(self, life: UpstreamLife) -> bool:
+        """Return whether the lease is not renewed, as the upstream may be lost.
 
-        Its runs can be given up once the lease has lapsed, and each renewal without an
-        answer may have extended it. It is only looked at until it answers.
+        Its runs can be abandoned only once the lease has expired, and each unanswered
+        renewal may have extended it. Holds without a renewal continue until one is
+        answered.
         """
         if self.policy.doubts_at_once:
             return life.failed_holds > 0
@@ -433,56 +461,63 @@
     def _pause_after_failure(self, life: UpstreamLife, busy: bool) -> float:
         if not busy:
             return IDLE_RETRY_SECONDS
-        # One that is lost by itself holds back the ends that it would have told.
+        # A single lost hold is repeated at once: its answer would have listed ends
+        # that entries wait for.
         alone = life.failed_holds == 1 and not life.fenced
-        return 0.0 if alone and self.policy.learns_answer_time else RETRY_SECONDS
+        return 0.0 if alone and self.policy.learns_answer_time else ORDER_RETRY_SECONDS
 
     def _may_renew(self) -> bool:
-        """Return whether each run that is not being stopped is still wanted.
+        """Return whether every run that is not being stopped may still continue.
 
-        After a pause of this process the contact with an entry may have ended
-        unnoticed. To renew the lease then, and to die, would let that entry's runs live
-        on after another has taken the job.
+        After a pause of this process, the contact with an entry may have ended
+        unnoticed. If the process renewed the lease then and died, that entry's runs
+        would outlive the time after which another entry may start the job again.
         """
         return all(
-            run.stop_wanted or self.may_start(run.entry)
-            for run in self.book.all()
-            if run.occupies
+            run.stop_requested or self.may_start(run.entry)
+            for run in self.registry.all()
+            if run.occupies_room
         )
 
     def _hold_failed(self, life: UpstreamLife, failure: HoldFailure) -> None:
-        if life.hold_failed(self.timers.now()):
+        if life.record_failed_hold(self.timers.now()):
             self.log.write(
                 "upstream.silent", upstream=life.report.id, failure=failure.value
             )
-            self.book.return_waiting("the upstream does not answer")
-            self.book.room_changed()
-        self._lapse_if_due()
+            self.registry.return_queued_runs("the upstream does not answer")
+            self.registry.room_changed()
+        self._finish_runs_if_lease_lapsed()
 
-    def _lapse_if_due(self) -> None:
-        """Give up runs whose lease at a silent upstream has ended."""
+    def _finish_runs_if_lease_lapsed(self) -> None:
+        """Finish the runs at an unresponsive upstream once its lease has expired."""
         now = self.timers.lease_now()
-        over_at = self.life.lapses_at if self.life else self.born + LAPSE_SECONDS
+        lapses_at = (
+            self.life.lapses_at
+            if self.life
+            else self.process_started_at + UPSTREAM_LEASE_EXPIRY_SECONDS
+        )
         silent = self.life is None or self.life.silent
-        if not silent or now < over_at:
+        if not silent or now < lapses_at:
             return
-        # Of an upstream that this process has not known it is not known if it crashed.
+        # Without a life in this process, it is unknown whether the upstream crashed.
         outcome = Outcome.CRASHED if self.life else Outcome.LOST
-        for run in self.book.all():
-            if run.occupies:
-                self.book.finish(run, outcome, "its lease lapsed")
-
-    def _take_holding(self, life: UpstreamLife, holding: Holding, number: int) -> None:
-        self.reader.read(life, self.health, holding, number)
+        for run in self.registry.all():
+            if run.occupies_room:
+                self.registry.finish(run, outcome, "its lease lapsed")
+
+    def _handle_holding(
+        self, life: UpstreamLife, holding: Holding, number: int
+    ) -> None:
+        self.reconciler.reconcile(life, self.health, holding, number)
         self._move_runs(self.timers.now())
-        self.pump()
+        self.start_queued_runs()
 
     def _move_runs(self, now: float) -> None:
-        """Stop the runs that would be done sooner elsewhere."""
+        """Stop runs that would finish sooner elsewhere; handle the start of a trial."""
         was_on_trial = self.health.on_trial()
-        moved = self.health.runs_to_move(self.book.all(), now)
+        moved = self.health.runs_to_move(self.registry.all(), now)
         for run in moved if self.policy.moves_runs else ():
-            run.moves = True
+            run.is_moving = True
             self._stop(run, f"no progress at {run.progress:.2f}, pace {self.pace()}")
         if self.health.on_trial() and not was_on_trial:
             self.log.write(
@@ -492,21 +527,24 @@
                 pace=self.pace(),
                 slowness=round(self.health.slowness, 2),
             )
-            self.book.return_waiting("the upstream is on trial")
-            self.book.room_changed()
+            self.registry.return_queued_runs("the upstream is on trial")
+            self.registry.room_changed()
 
     def pace(self) -> float:
-        """Return how many times longer than declared the running tasks take."""
+        """Return the ratio of the time that running tasks take to the estimate."""
         return round(self.health.pace, 2)
 
     # Lives of the upstream.
 
     def _begin_life(self, report: UpstreamReport) -> None:
         now = self.timers.lease_now()
-        lead = report.clock - now
-        self.lives.begin(report.life)
+        clock_offset = report.clock - now
+        self.lives.record_life(report.life)
         self.life = UpstreamLife(
-            report, self.connect(report), lead, self.born + LAPSE_SECONDS
+            report,
+            self.connect(report),
+            clock_offset,
+            self.process_started_at + UPSTREAM_LEASE_EXPIRY_SECONDS,
         )
         self.health = self._new_health()
         self.log.write(
@@ -516,46 +554,47 @@
             service=report.service,
             cpu=report.capacity.cpu,
         )
-        # Shows this process's token, so that orders of an earlier one are refused.
-        self.nursery.start_soon(self._look, self.life)
-        self.book.room_changed()
+        # The probe carries this process's fencing token, so that the upstream refuses
+        # orders of an earlier process from now on.
+        self.nursery.start_soon(self._probe_new_life, self.life)
+        self.registry.room_changed()
 
-    async def _look(self, life: UpstreamLife) -> None:
+    async def _probe_new_life(self, life: UpstreamLife) -> None:
         answer = HoldFailure.NO_ANSWER
         while life is self.life and not isinstance(answer, Holding):
-            number = self.holds
-            answer = await self.giver.look(life)
+            number = self.hold_count
+            answer = await self.order_sender.probe(life)
             if answer is HoldFailure.OTHER_BOOT and life is self.life:
-                self._end_life(OTHER_BOOT)
+                self._end_life(OTHER_BOOT_REASON)
             if answer is HoldFailure.FENCED:
                 life.fenced = True
                 return
             if not isinstance(answer, Holding):
-                await trio.sleep(RETRY_SECONDS)
+                await trio.sleep(ORDER_RETRY_SECONDS)
         if life is self.life:
-            self._take_holding(life, answer, number)
+            self._handle_holding(life, answer, number)
             self.wake.set()
 
     def _end_life(self, why: str, outcome: Outcome = Outcome.CRASHED) -> None:
-        """End the life that is here; ``outcome`` is that of its runs."""
+        """End the current life and finish its started runs with ``outcome``."""
         life = self.life
         self.life = None
         self.log.write("upstream.gone", upstream=life.report.id, why=why)
         self.nursery.start_soon(life.port.aclose)
-        self.book.return_waiting("the upstream is gone")
-        for run in self.book.all():
-            self.book.finish(run, outcome, "the upstream is gone")
-        self.book.room_changed()
+        self.registry.return_queued_runs("the upstream is gone")
+        for run in self.registry.all():
+            self.registry.finish(run, outcome, "the upstream is gone")
+        self.registry.room_changed()
 
     def _update(self, life: UpstreamLife, report: UpstreamReport) -> None:
         began_draining = report.draining and not life.report.draining
         capacity = life.report.capacity
         life.report = report
-        life.note_clock(report.clock, self.timers.lease_now())
+        life.update_clock(report.clock, self.timers.lease_now())
         if began_draining:
             self.log.write("upstream.draining", upstream=report.id)
-            self.book.return_waiting("the upstream is draining")
-            self.book.room_changed()
+            self.registry.return_queued_runs("the upstream is draining")
+            self.registry.room_changed()
         if report.capacity != capacity:
             self.log.write(
                 "upstream.capacity",
@@ -563,7 +602,7 @@
                 cpu=report.capacity.cpu,
                 former_cpu=capacity.cpu,
             )
-            self.pump()
+            self.start_queued_runs()
 
     def _ms_since(self, time: float) -> int:
         return round((self.timers.now() - time) * 1000)
--- a/bergamotcourse/coordination/jobs/former_ends.py
+++ b/bergamotcourse/coordination/jobs/former_ends.py
@@ -1,28 +1,28 @@
-"""Ends of runs that an earlier process of an agent had started."""
+"""Ends of runs that an earlier process of the agent had started."""
 
 from bergamotcourse.protocol.upstream_orders import EndKind, RunKey
 
-MOST_ENDS = 1000
-"""An upstream lists what ended while nobody asked, within two seconds or so, a few
-hundred at most."""
+MAX_FORMER_ENDS = 1000
+"""Bounds the memory. A few hundred ends are expected at most: those of about two
+seconds in which no agent process acknowledged them."""
 
 
 class FormerEnds:
-    """Keeps such ends for the entries that will ask for their runs.
+    """Stores ends until the entries that placed the runs withdraw them.
 
     Attributes:
-        kinds: How each run ended, the oldest end first.
+        kinds: How each run ended, oldest end first.
     """
 
     def __init__(self):
         self.kinds: dict[RunKey, EndKind] = {}
 
-    def keep(self, key: RunKey, kind: EndKind) -> None:
-        """Keep one end; the oldest goes where there are too many."""
+    def record(self, key: RunKey, kind: EndKind) -> None:
+        """Store an end; the oldest is evicted beyond ``MAX_FORMER_ENDS``."""
         self.kinds[key] = kind
-        if len(self.kinds) > MOST_ENDS:
+        if len(self.kinds) > MAX_FORMER_ENDS:
             del self.kinds[next(iter(self.kinds))]
 
-    def take(self, key: RunKey) -> EndKind | None:
-        """Return how a run ended, and forget it; ``None`` if that is not known."""
+    def pop(self, key: RunKey) -> EndKind | None:
+        """Remove and return how a run ended; ``None`` if unknown."""
         return self.kinds.pop(key, None)
--- /dev/null
+++ b/bergamotcourse/coordination/jobs/holding_reconciler.py
@@ -0,0 +1,111 @@
+"""Reconciliation of an agent's runs with the runs and ends that its upstream lists."""
+
+from bergamotcourse.coordination.event_log import EventLog
+from bergamotcourse.coordination.jobs.former_ends import FormerEnds
+from bergamotcourse.coordination.jobs.run_registry import RunRegistry
+from bergamotcourse.coordination.jobs.task_runs import PlacedRun
+from bergamotcourse.coordination.jobs.upstream_health import UpstreamHealth
+from bergamotcourse.coordination.jobs.upstream_life import UpstreamLife
+from bergamotcourse.coordination.timers import Timers
+from bergamotcourse.protocol.task_messages import Outcome
+from bergamotcourse.protocol.upstream_orders import EndedRun, EndKind, Holding
+
+OUTCOME_BY_END_KIND = {
+    EndKind.DONE: Outcome.DONE,
+    EndKind.FAILED: Outcome.FAILED,
+    EndKind.STOPPED: Outcome.STOPPED,
+    EndKind.LAPSED: Outcome.LOST,
+}
+
+
+class HoldingReconciler:
+    """Applies listed ends and progress to runs, and finishes runs that are not listed.
+
+    Attributes:
+        registry: The runs of the agent.
+        former_ends: Ends of runs that an earlier process had started.
+    """
+
+    def __init__(self, registry: RunRegistry, timers: Timers, log: EventLog):
+        self.registry = registry
+        self.timers = timers
+        self.log = log
+        self.former_ends = FormerEnds()
+
+    def reconcile(
+        self,
+        life: UpstreamLife,
+        health: UpstreamHealth,
+        holding: Holding,
+        number: int,
+    ) -> None:
+        """Apply the lists that a life of an upstream sent.
+
+        Args:
+            life: The life.
+            health: Receives the ends of runs.
+            holding: The lists.
+            number: Number of the hold that they answer. A run whose start or stop was
+                confirmed before that hold began must be listed if it still runs.
+        """
+        for ended in holding.ended:
+            if ended.number > life.processed_ends:
+                life.processed_ends = ended.number
+                self._handle_run_end(ended, health)
+        listed = {running.key: running for running in holding.running}
+        life.listed_runs = len(listed)
+        now = self.timers.now()
+        for run in self.registry.all():
+            running = listed.get(run.key)
+            if running is not None:
+                _note_progress(run, running.progress, now)
+            elif 0 <= run.start_confirmed_hold < number:
+                self._finish_unlisted_run(run, life, holding)
+            elif 0 <= run.stop_confirmed_hold < number:
+                self.registry.finish(run, Outcome.RETURNED, "stopped before it started")
+
+    def finish_former_run(self, run: PlacedRun) -> bool:
+        """Finish a run of an earlier process; return false if its end is unknown."""
+        kind = self.former_ends.pop(run.key)
+        if kind is None:
+            return False
+        self.registry.finish(run, OUTCOME_BY_END_KIND[kind], kind.value)
+        return True
+
+    def _handle_run_end(self, ended: EndedRun, health: UpstreamHealth) -> None:
+        run = self.registry.runs.get(ended.key)
+        if run is None:
+            self.former_ends.record(ended.key, ended.kind)
+            return
+        ran = self.timers.now() - run.started_at if run.started_at else 0.0
+        health.record_end(ended.kind, run, ran, self.timers.now())
+        outcome = OUTCOME_BY_END_KIND[ended.kind]
+        if run.is_moving and outcome is Outcome.STOPPED:
+            outcome = Outcome.MOVED
+        self.registry.finish(run, outcome, ended.kind.value, ran)
+
+    def _finish_unlisted_run(
+        self, run: PlacedRun, life: UpstreamLife, holding: Holding
+    ) -> None:
+        """Finish as lost a run that has started and that the upstream does not list.
+
+        It has ended, and may have run to completion. If it were reported as never
+        started, its entry could refuse the job as one that has not run.
+        """
+        self.log.write(
+            "run.unlisted",
+            request=run.order.request,
+            task=run.key.task,
+            run=run.key.number,
+            upstream=life.report.id,
+            noted=life.processed_ends,
+            incarnation=holding.incarnation,
+            last_incarnation=life.report.incarnation,
+        )
+        self.registry.finish(run, Outcome.LOST, "the upstream does not list it")
+
+
+def _note_progress(run: PlacedRun, progress: float, now: float) -> None:
+    if progress > run.progress:
+        run.progress = progress
+        run.progress_at = now
--- a/bergamotcourse/coordination/jobs/known_lives.py
+++ b/bergamotcourse/coordination/jobs/known_lives.py
@@ -1,7 +1,8 @@
-"""Which life of an upstream a report or a departure is of.
+"""Assignment of reports and departures to lives of an upstream.
 
-An upstream may start again under its id, and another one may take its place. What a
-life has said may arrive when the next one is already there.
+A life is the time between one start of an upstream and its end. An upstream may restart
+under its id, or another one may replace it, and a message of an earlier life may arrive
+after the next life has begun.
 """
 
 from enum import Enum
@@ -11,56 +12,58 @@
 
 
 class ReportKind(Enum):
-    """What a report says beside what is known."""
-
-    NEWS = "news"
-    OVERTAKEN = "overtaken"
-    """The life that is here has said something later."""
-    FORMER = "former"
-    """It is of a life that is over."""
+    """Relation of a report to the current life and its last report."""
+
+    CURRENT = "news"
+    """The latest report of the current life."""
+    OUTDATED = "overtaken"
+    """The current life has sent a later report."""
+    FORMER_LIFE = "former"
+    """The report is of a life that has ended."""
     NEXT_LIFE = "next life"
+    """The report is the first of a new life."""
 
 
 class KnownLives:
     """The lives of upstreams that one agent has seen.
 
     Attributes:
-        incarnations: The last of each upstream.
+        last_incarnations: The last incarnation of each upstream.
     """
 
     def __init__(self):
-        self.incarnations: dict[UpstreamId, Incarnation] = {}
+        self.last_incarnations: dict[UpstreamId, Incarnation] = {}
 
-    def begin(self, life: LifeKey) -> None:
-        """Note a life that begins; all before it under its id are over."""
-        self.incarnations[life.upstream] = life.incarnation
+    def record_life(self, life: LifeKey) -> None:
+        """Record a life that begins; all earlier lives under its id have ended."""
+        self.last_incarnations[life.upstream] = life.incarnation
 
-    def judge(
+    def classify_report(
         self, present: UpstreamReport | None, report: UpstreamReport
     ) -> ReportKind:
-        """Return what a report says.
+        """Return how a report relates to the current life.
 
-        Not by the id and the sequence alone: an upstream that starts again under its id
-        counts its reports anew, and they would be passed over as overtaken.
+        The id and the sequence number are not enough: an upstream that restarts under
+        its id numbers its reports from the start, so they would be ignored as outdated.
 
         Args:
-            present: The last report of the life that is here.
-            report: The one to judge.
+            present: The last report of the current life; ``None`` without one.
+            report: The report to classify.
         """
         if present is not None and present.life == report.life:
             overtaken = report.sequence < present.sequence
-            return ReportKind.OVERTAKEN if overtaken else ReportKind.NEWS
-        known = self.incarnations.get(report.id)
+            return ReportKind.OUTDATED if overtaken else ReportKind.CURRENT
+        known = self.last_incarnations.get(report.id)
         if known is not None and report.incarnation <= known:
-            return ReportKind.FORMER
+            return ReportKind.FORMER_LIFE
         return ReportKind.NEXT_LIFE
 
 
-def ends_life(present: LifeKey, gone: LifeKey) -> bool:
-    """Return whether a departure is that of the life that is here.
+def is_departure_of_life(present: LifeKey, gone: LifeKey) -> bool:
+    """Return whether a departure is that of the current life.
 
-    One that names no incarnation goes by the id. That of a former life, taken for the
-    end of this one, would give up runs that go on.
+    A departure without an incarnation is matched by the id alone. If the departure of a
+    former life ended the current one, runs that continue would be abandoned.
     """
     return present.upstream == gone.upstream and gone.incarnation in (
         0,
--- a/bergamotcourse/coordination/jobs/lease_terms.py
+++ b/bergamotcourse/coordination/jobs/lease_terms.py
@@ -1,85 +1,92 @@
-"""The times that keep two runs of one task from overlapping, and their sum.
+"""Timing constants of the leases that keep two runs of one task from overlapping.
 
-A run lives under two leases. The agent keeps an entry's runs only while it is in
-contact with that entry; the upstream keeps all runs only while the agent renews its
-lease. Whoever places a task anew waits until both have surely ended, so the sum must
-stay below the time after which a caller sends a job again.
+A run depends on two leases. The agent keeps an entry's runs only while it is in contact
+with that entry; the upstream keeps all runs only while the agent renews its lease. A
+task is placed again only after both leases have certainly expired, so their sum must
+stay below the time after which a caller resends a job.
 """
 
-CONTACT_SECONDS = 0.45
-"""An agent ends the runs of an entry so long after it sent the last message that this
-entry has echoed. Three heartbeats: one may be lost, or two come late."""
+CONTACT_LEASE_SECONDS = 0.45
+"""Contact lease of an entry at an agent, from when the agent sent the last message that
+the entry has echoed. The agent then stops the entry's runs. Three heartbeats long: one
+may be lost, or two may be late."""
 
 HEARTBEAT_SECONDS = 0.15
-"""Between the messages of an agent to an entry that has tasks there."""
+"""Interval of an agent's messages to an entry that has tasks there."""
 
 IDLE_HEARTBEAT_SECONDS = 0.25
-"""Between the messages of an agent to an entry that had tasks there of late: a late one
-still comes within ``SILENT_SECONDS``."""
+"""Interval of an agent's messages to an entry that recently had tasks there: short
+enough that a late one still arrives within ``AGENT_SILENCE_SECONDS``."""
 
-WARM_SECONDS = 1.0
-"""For so long after an entry's last task, or after it has waited for room, an agent
-tells it the load as often as before: the entry places without a handshake meanwhile."""
+RECENT_ENTRY_SECONDS = 1.0
+"""Time after an entry's last task, or after it last waited for room, in which an agent
+still reports its load to it as often as before, so that the entry can place tasks
+without a handshake."""
 
 IDLE_MESSAGES_PER_SECOND = 16
-"""Of an agent to all the entries that have nothing to do with it. Four entries hear it
-each ``IDLE_HEARTBEAT_SECONDS``, 35 each 2.2 s: an idle agent costs the same however
-many entries there are."""
+"""Rate of an agent's messages to all entries without tasks there, so that the cost of
+an idle agent does not grow with the number of entries. Four entries get one each every
+``IDLE_HEARTBEAT_SECONDS``, 35 entries every 2.2 s."""
 
-OPEN_SECONDS = 0.1
-"""An agent without contact that leaves a placement unanswered for so long is passed
-over, and the run is placed elsewhere: a round trip takes 2 ms and an entry or agent on
-half a core is held up for up to 30 ms, and a short job has 130 ms to spare."""
+FIRST_PLACEMENT_TIMEOUT_SECONDS = 0.1
+"""Timeout of a placement at an agent without contact, after which the run is placed
+elsewhere. A round trip takes 2 ms, an entry or agent on half a core is delayed by up to
+30 ms, and a short job has 130 ms of slack."""
 
-CONFIRM_SECONDS = 0.04
-"""An agent confirms items after this at the latest, so that a lost one is sent again
-while a short job can still be in time; an outcome or a heartbeat does it as a rule."""
+MAX_ACK_DELAY_SECONDS = 0.04
+"""Longest delay of an agent's acknowledgement of items, so that a lost item is
+retransmitted while a short job can still finish in time. An outcome or a heartbeat
+usually carries the acknowledgement earlier."""
 
-ECHO_SECONDS = 0.06
-"""Longest wait of an entry before it echoes a heartbeat; under half of one."""
+MAX_ECHO_DELAY_SECONDS = 0.06
+"""Longest delay before an entry echoes a heartbeat; below half a heartbeat interval."""
 
 UPSTREAM_LEASE_SECONDS = 0.65
-"""Asked of the upstream with each order; three renewals may be lost."""
+"""Lease requested from the upstream with each order; three renewals may be lost."""
 
-HOLD_WAIT_SECONDS = 0.1
+HOLD_LONG_POLL_SECONDS = 0.1
 HOLD_TIMEOUT_SECONDS = 0.2
-"""A renewal waits so long for news, and so long at most for its answer: three that
-fail fit into ``UPSTREAM_LEASE_SECONDS``."""
+"""Long poll of a hold for ends of runs, and the upper bound of its answer timeout.
+Three that fail fit into ``UPSTREAM_LEASE_SECONDS``."""
 
-CLOCK_ERROR = 0.02
-"""An upstream's clock may be slow by this share."""
+MAX_CLOCK_DRIFT = 0.02
+"""Share by which an upstream's clock may run slow."""
 
-STOP_SECONDS = 0.05
-"""The longest that an upstream takes to stop a run."""
+MAX_STOP_SECONDS = 0.05
+"""Longest time that an upstream takes to stop a run."""
 
-SLACK_SECONDS = 0.05
-"""For timers that fire late and for the message that carries the last heartbeat."""
+TIMER_SLACK_SECONDS = 0.05
+"""Margin for late timers and for the transit of the last heartbeat."""
 
-LAPSE_SECONDS = UPSTREAM_LEASE_SECONDS * (1 + CLOCK_ERROR) + SLACK_SECONDS
-"""From the last order that may have renewed an upstream's lease until all runs there
-have certainly ended."""
-
-OVER_SECONDS = (
-    CONTACT_SECONDS
-    + UPSTREAM_LEASE_SECONDS * (1 + CLOCK_ERROR)
-    + STOP_SECONDS
-    + SLACK_SECONDS
+UPSTREAM_LEASE_EXPIRY_SECONDS = (
+    UPSTREAM_LEASE_SECONDS * (1 + MAX_CLOCK_DRIFT) + TIMER_SLACK_SECONDS
 )
-"""From the last message of an agent until all runs of the receiver there are over, even
-if the agent is lost as well. Must stay below the callers' resend time of 1.3 s."""
-
-SILENT_SECONDS = 0.4
-"""An agent not heard for so long gets no more tasks: two heartbeats were lost."""
-
-REACH_SECONDS = CONTACT_SECONDS + SLACK_SECONDS
-"""An agent not heard for so long has no contact with this entry, whatever the entry
-sent before: a run placed there now starts only after an echo of a later message."""
-
-RESEND_SECONDS = 0.12
-"""Items that were not confirmed within this are sent again: an echo takes
-``ECHO_SECONDS`` and a confirmation ``CONFIRM_SECONDS``, and a busy process is late by
-30 ms. Doubled each time up to ``MOST_RESEND_SECONDS``."""
-
-MOST_RESEND_SECONDS = 0.48
-"""A peer that is short of processor time must not get ever more to read; once it
-answers, what it lacks follows within this."""
+"""Time from the last order that may have renewed an upstream's lease until all runs
+there have certainly ended."""
+
+ALL_RUNS_ENDED_SECONDS = (
+    CONTACT_LEASE_SECONDS
+    + UPSTREAM_LEASE_SECONDS * (1 + MAX_CLOCK_DRIFT)
+    + MAX_STOP_SECONDS
+    + TIMER_SLACK_SECONDS
+)
+"""Time from the last message of an agent until all runs that the receiving entry placed
+there have ended, even if the agent is lost as well. Must stay below the callers' resend
+time of 1.3 s."""
+
+AGENT_SILENCE_SECONDS = 0.4
+"""Silence after which an agent gets no more tasks: two heartbeats were lost."""
+
+CONTACT_LOST_SECONDS = CONTACT_LEASE_SECONDS + TIMER_SLACK_SECONDS
+"""Silence after which an agent has no contact with this entry, whatever the entry sent
+before: a run placed there now starts only after an echo of a later message."""
+
+RETRANSMIT_SECONDS = 0.12
+"""Initial retransmission timeout of items. An echo takes up to
+``MAX_ECHO_DELAY_SECONDS``, an acknowledgement up to ``MAX_ACK_DELAY_SECONDS``, and a
+busy process adds 30 ms. Doubled each time up to ``MAX_RETRANSMIT_SECONDS``."""
+
+MAX_RETRANSMIT_SECONDS = 0.48
+"""Limit of the retransmission backoff, which keeps a peer that is short of processor
+time from getting ever more to read. Once the peer answers, missing items follow within
+this time."""
--- a/bergamotcourse/coordination/jobs/policy.py
+++ b/bergamotcourse/coordination/jobs/policy.py
@@ -1,7 +1,7 @@
-"""The mechanisms of the job dispatcher's decisions, each with a switch.
+"""Switches for the mechanisms by which the job dispatcher decides.
 
-All are on in production. A comparison switches one off to tell what it is worth
-(docs/design/decisions.md has the figures).
+All are on in production. Comparisons switch one off to measure its benefit; see
+docs/design/decisions.md for the figures.
 """
 
 from collections.abc import Iterable
@@ -10,26 +10,31 @@
 
 @dataclass(frozen=True)
 class JobPolicy:
-    """Which mechanisms decide.
+    """Switches of the mechanisms.
 
     Attributes:
-        learns_estimates: Declared times are corrected by what tasks have taken.
-        puts_urgent_first: Waiting jobs go by when they must start, not by arrival.
-        tells_some_of_room: Two waiting entries hear of a freed slot, not all.
-        tells_unseen_room: An entry that begins to wait hears of room it missed.
+        learns_estimates: Declared task times are corrected by measured ones.
+        puts_urgent_first: Waiting jobs are ordered by latest start time instead of by
+            arrival.
+        tells_some_of_room: Two waiting entries are notified of a freed slot, instead of
+            all.
+        tells_unseen_room: An entry that begins to wait is notified of room that it has
+            not seen.
         tries_upstreams: A failing, stalled or slow upstream gets one task at a time.
         moves_runs: Runs on a stalled or slow upstream are stopped, to run elsewhere.
-        turns_away_when_short: An entry short of processor time refuses a share unread.
-        learns_answer_time: An order without an answer is repeated after the time that
-            answers take, not after a fixed one.
-        doubts_at_once: An upstream's lease is not renewed after a renewal without an
-            answer, until it answers.
-        recalls_upstreams: A new process takes up upstreams by their last report in
+        turns_away_when_short: An entry short of processor time refuses a share of
+            requests unread.
+        learns_answer_time: The timeout of an order follows the measured answer times
+            instead of being fixed.
+        doubts_at_once: After one unanswered hold, an upstream's lease is not renewed
+            until it answers.
+        recalls_upstreams: A new agent process adopts its upstream by the last report in
             the store.
-        places_near_data: Tasks go to the rack that has their data, as long as that
-            serves their job, and others leave it to them.
-        keeps_to_share: An entry uses a share of the agents as long as it has room.
-        keeps_jobs_together: The tasks of a job go to one agent as far as it has room.
+        places_near_data: Tasks are placed on the rack that has their data as long as
+            that serves their job, and other tasks avoid that rack.
+        keeps_to_share: An entry uses a share of the agents as long as that has room.
+        keeps_jobs_together: The tasks of a job are placed at one agent as far as it has
+            room.
     """
 
     learns_estimates: bool = True
@@ -51,7 +56,7 @@
         """Return the policy with some mechanisms switched off.
 
         Raises:
-            ValueError: There is no mechanism of a name.
+            ValueError: A name is not that of a mechanism.
         """
         unknown = sorted(set(names) - set(SWITCHES))
         if unknown:
--- a/bergamotcourse/coordination/jobs/resend_timer.py
+++ b/bergamotcourse/coordination/jobs/resend_timer.py
@@ -1,8 +1,8 @@
 """How long a sender waits for a confirmation before it sends again (RFC 6298)."""
 
 from bergamotcourse.coordination.jobs.lease_terms import (
-    MOST_RESEND_SECONDS,
-    RESEND_SECONDS,
+    MAX_RETRANSMIT_SECONDS,
+    RETRANSMIT_SECONDS,
 )
 
 MEAN_WEIGHT = 1 / 8
@@ -21,7 +21,7 @@
     def __init__(self):
         self.mean: float | None = None
         self.deviation = 0.0
-        self.wait = RESEND_SECONDS
+        self.wait = RETRANSMIT_SECONDS
 
     def learn(self, seconds: float) -> None:
         """Take the round trip of an item that was sent once.
@@ -36,8 +36,8 @@
             self.deviation += DEVIATION_WEIGHT * (error - self.deviation)
             self.mean += MEAN_WEIGHT * (seconds - self.mean)
         wait = self.mean + DEVIATIONS * self.deviation
-        self.wait = min(max(wait, RESEND_SECONDS), MOST_RESEND_SECONDS)
+        self.wait = min(max(wait, RETRANSMIT_SECONDS), MAX_RETRANSMIT_SECONDS)
 
     def expired(self) -> None:
         """Note that an item is sent again."""
-        self.wait = min(self.wait * BACKOFF, MOST_RESEND_SECONDS)
+        self.wait = min(self.wait * BACKOFF, MAX_RETRANSMIT_SECONDS)
--- a/bergamotcourse/coordination/jobs/task_runs.py
+++ b/bergamotcourse/coordination/jobs/task_runs.py
@@ -1,4 +1,4 @@
-"""The runs at one agent: waiting for room, starting, running, stopping."""
+"""State of a run at an agent."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class RunState(Enum):
-    """Where a placed run stands."""
+    """State of a placed run that has no outcome yet."""
 
     QUEUED = "queued"
     STARTING = "starting"
@@ -20,19 +20,22 @@
 
 @dataclass
 class PlacedRun:
-    """A run that an entry placed here, or that is to be barred.
+    """A run that an entry placed at this agent, or that is to be barred.
 
     Attributes:
-        entry: Who placed it, and is told its outcome.
-        order: The placement; ``None`` for a run this process never started.
-        placed_at: When it came.
-        started_at: When the upstream confirmed its start; 0 before.
-        confirmed: Number of holds begun by then; -1 before.
-        asked_start: An order to start has left, so it may run.
-        stop_wanted: It must end, whatever else happens.
-        moves: It is stopped because it would be done sooner elsewhere.
-        barred: Number of holds begun when the upstream confirmed the stop; -1 before.
+        key: The task and the number of the run.
+        entry: The entry that placed it and receives its outcome.
+        order: The placement; ``None`` for a run that this process never started.
+        placed_at: When the placement arrived.
+        started_at: When the upstream confirmed the start; 0 before.
+        start_confirmed_hold: Number of holds begun by then; -1 before.
+        start_ordered: A start order may have been sent, so the run may be running.
+        stop_requested: The run must end, whatever else happens.
+        is_moving: It is stopped because it would finish sooner elsewhere.
+        stop_confirmed_hold: Number of holds begun when the upstream confirmed the stop;
+            -1 before.
         progress: Share of the work that was done at ``progress_at``.
+        progress_at: When progress last increased, or the start before any progress.
     """
 
     key: RunKey
@@ -41,24 +44,24 @@
     placed_at: float
     state: RunState = RunState.QUEUED
     started_at: float = 0.0
-    confirmed: int = -1
-    asked_start: bool = False
-    stop_wanted: bool = False
-    moves: bool = False
-    barred: int = -1
+    start_confirmed_hold: int = -1
+    start_ordered: bool = False
+    stop_requested: bool = False
+    is_moving: bool = False
+    stop_confirmed_hold: int = -1
     progress: float = 0.0
     progress_at: float = 0.0
 
     @property
     def needs(self) -> Resources:
-        """Return the resources that it takes or waits for."""
+        """Return the resources that the run needs."""
         return self.order.needs if self.order else NOTHING
 
     @property
-    def occupies(self) -> bool:
-        """Return whether it takes room at the upstream."""
+    def occupies_room(self) -> bool:
+        """Return whether it occupies room at the upstream."""
         return self.state is not RunState.QUEUED
 
     def rank(self) -> tuple[float, float]:
-        """Return the order among those that wait: the least goes first."""
+        """Return the sort key in the queue; the lowest starts first."""
         return (self.placed_at + self.order.rank / 1000, self.placed_at)
--- a/bergamotcourse/coordination/jobs/upstream_health.py
+++ b/bergamotcourse/coordination/jobs/upstream_health.py
@@ -1,10 +1,11 @@
-"""Whether an upstream fails, stalls or delays what it runs, by ends and progress.
-
-An upstream that fails all its tasks at once ends them sooner than others, looks free,
-and draws ever more of them; one that stands still or has turned slow holds its tasks
-until their jobs are lost. One bad end says nothing, as tasks fail by their own fault
-and declared times are far off; so several in a row are needed, or many runs that are
-slow at once. A trial brings the upstream back.
+"""Detection of upstreams that fail, stall or slow down their runs.
+
+An upstream that fails all tasks at once ends them sooner than others, appears free and
+attracts ever more of them. One that stalls or has become slow holds its tasks until
+their jobs miss their deadlines. A single bad end is no evidence, as tasks fail by their
+own fault and declared times are far off, so several failures in a row are needed, or
+many runs that are slow at once. The upstream is then on trial: it gets one task at a
+time, as with a half-open circuit breaker, until tasks succeed at the usual speed.
 """
 
 import math
@@ -14,78 +15,82 @@
 from bergamotcourse.protocol.upstream_orders import EndKind
 
 FAILURE_WEIGHT = 0.12
-"""Of one end in the share of failures."""
+"""Weight of one end in the smoothed share of failures."""
 
-FAILING_SHARE = 0.3
-"""Share of failures that puts an upstream on trial: reached by three in a row, or where
-a third of all tasks fail."""
+TRIAL_FAILURE_SHARE = 0.3
+"""Share of failures that puts an upstream on trial, reached by three failures in a row
+or if a third of all tasks fail."""
 
-TRIAL_WEIGHT = 0.4
-"""Of the end of a task on trial in that share."""
+TRIAL_FAILURE_WEIGHT = 0.4
+"""Weight of the end of a trial task in the share of failures."""
 
-SOUND_SHARE = 0.1
-"""Share of failures that ends a trial: three good tasks in a row."""
+RECOVERED_FAILURE_SHARE = 0.1
+"""Share of failures that ends a trial, reached by three successes in a row."""
 
-TRIAL_SECONDS = 1.0
-"""An upstream on trial gets one task each so long, until one ends well."""
+TRIAL_INTERVAL_SECONDS = 1.0
+"""Interval of trial tasks until one succeeds."""
 
-SPEED_WEIGHT = 0.05
-"""Of an end in the average of speeds; declared times are far off one by one."""
+SLOWNESS_WEIGHT = 0.05
+"""Weight of one end in the average slowness. Low, as single declared times are far
+off."""
 
-LEAST_SLOWNESS = 0.3
-MOST_SLOWNESS = 20.0
+MIN_SLOWNESS = 0.3
+MAX_SLOWNESS = 20.0
 
-SLOW = 2.5
-"""Times the usual from which on an upstream counts as slow: kinds of upstreams differ
-by 1.3, and the slow ones that matter are three times slower or more."""
+SLOW_FACTOR = 2.5
+"""Multiple of the usual slowness from which an upstream counts as slow. Kinds of
+upstreams differ by a factor of 1.3, and the slow ones that matter are at least three
+times slower."""
 
-LEAST_RUNS = 2
-"""Running tasks by which the present speed is told."""
+MIN_PACE_RUNS = 2
+"""Fewest running tasks from which the current pace is computed."""
 
-RATIO_DEVIATION = 0.44
-"""Standard deviation of the logarithm of the time taken over the time declared, on
-sound upstreams."""
+LOG_RATIO_DEVIATION = 0.44
+"""Standard deviation of the logarithm of time taken over time declared, on healthy
+upstreams."""
 
-RUNNING_BIAS = 0.2
-"""By how much the mean of that logarithm is higher among the tasks that run at a
-moment: those that take long are seen running more often."""
+LOG_RATIO_BIAS = 0.2
+"""How much higher the mean of that logarithm is among the tasks running at one moment:
+tasks that take long are observed running more often."""
 
-CERTAINTY = 4.0
-"""Standard deviations above the usual at which an upstream counts as slow; with fewer,
-sound upstreams would come on trial by chance."""
+SLOW_DEVIATIONS = 4.0
+"""Standard deviations above the usual pace from which an upstream counts as slow. With
+fewer, healthy upstreams would be put on trial by chance."""
 
-LEAST_PROGRESS = 0.03
-"""Progress by which the speed of a run is told: it is given in hundredths."""
+MIN_PROGRESS = 0.03
+"""Least progress from which the speed of a run is computed. Progress is reported in
+hundredths."""
 
-LEAST_ELAPSED_SECONDS = 0.1
-"""Age by which the speed of a run is told: a start is known some milliseconds late or
-early, and reports are ten milliseconds old."""
+MIN_ELAPSED_SECONDS = 0.1
+"""Least age from which the speed of a run is computed. The start time is off by some
+milliseconds, and reports are 10 ms old."""
 
 STALL_SECONDS = 0.5
-"""A run without progress for so long stands still: the longest task of 3.6 s, slowed 8
-times, gains a hundredth in 0.3 s."""
+"""Time without progress after which a run is stalled. The longest task of 3.6 s, slowed
+down 8 times, gains a hundredth in 0.3 s."""
 
-YOUNG_SECONDS = 0.25
-"""A run on a slow upstream that has not told its speed by then is moved."""
+UNKNOWN_SPEED_SECONDS = 0.25
+"""Age at which a run on a slow upstream is moved if its speed is still unknown."""
 
-MOVE_SECONDS = 0.1
-"""For stopping a run and starting it elsewhere."""
+MOVE_OVERHEAD_SECONDS = 0.1
+"""Time to stop a run and start it elsewhere."""
 
 
 @dataclass
 class UpstreamHealth:
-    """What the ends and the progress of one life of an upstream tell.
+    """Health of one life of an upstream, computed from ends and progress of runs.
 
     Attributes:
-        failures: Share of failures among the latest ends.
-        failing: The share was too high, and has not come down since.
-        slowness: Average of the time taken over the time declared.
-        pace: The same for the tasks that run now, as the mean of logarithms; 0 while
-            too few tell.
-        stalled: Runs that stood still, since the last that ended well.
-        slow_since: When it was found to take far longer than usual; ``None`` if not.
+        failures: Smoothed share of failures among the latest ends.
+        failing: The share reached ``TRIAL_FAILURE_SHARE`` and has not fallen below
+            ``RECOVERED_FAILURE_SHARE`` since.
+        slowness: Average ratio of time taken to time declared.
+        pace: Geometric mean of that ratio for the tasks that run now; 0 if it is known
+            for too few.
+        stalled: Stalled runs since the last success.
+        slow_since: When the upstream was found to be slow; ``None`` if it is not.
         trial_at: When an upstream on trial may get its next task.
-        tries: Whether it comes on trial at all.
+        trials_enabled: Whether the upstream can be put on trial.
     """
 
     failures: float = 0.0
@@ -95,104 +100,117 @@
     stalled: int = 0
     slow_since: float | None = None
     trial_at: float = 0.0
-    tries: bool = True
+    trials_enabled: bool = True
 
-    def ended(self, kind: EndKind, run: PlacedRun, ran: float, now: float) -> None:
-        """Take the end of a run."""
+    def record_end(self, kind: EndKind, run: PlacedRun, ran: float, now: float) -> None:
+        """Record the end of a run that ran for ``ran`` seconds."""
         match kind:
             case EndKind.DONE:
                 self.stalled = 0
-                self._learn(run, ran)
-                self._note_failure(0.0)
+                self._update_slowness(run, ran)
+                self._update_failures(0.0)
                 if self.failing:
                     self.trial_at = now
             case EndKind.FAILED:
-                self._note_failure(1.0)
-                self.trial_at = now + TRIAL_SECONDS
+                self._update_failures(1.0)
+                self.trial_at = now + TRIAL_INTERVAL_SECONDS
             case _:
                 pass
 
-    def refused(self, now: float) -> None:
-        """Take the refusal of an order by an upstream that says it is unhealthy."""
-        self._note_failure(1.0)
-        self.trial_at = now + TRIAL_SECONDS
+    def record_refusal(self, now: float) -> None:
+        """Record that the upstream refused an order, reporting itself unhealthy."""
+        self._update_failures(1.0)
+        self.trial_at = now + TRIAL_INTERVAL_SECONDS
 
     @property
     def slow(self) -> bool:
-        """Return whether it takes far longer than usual."""
+        """Return whether the upstream takes far longer than usual."""
         return self.slow_since is not None
 
     def on_trial(self) -> bool:
-        """Return whether it gets one task at a time."""
-        return self.tries and (self.failing or self.stalled > 0 or self.slow)
+        """Return whether the upstream gets one task at a time."""
+        return self.trials_enabled and (self.failing or self.stalled > 0 or self.slow)
 
     def runs_to_move(self, runs: list[PlacedRun], now: float) -> list[PlacedRun]:
-        """Look at the runs, and return those that would be done sooner elsewhere."""
+        """Update health from the progress of runs, and return the runs to move.
+
+        These are stalled runs and, on a slow upstream, runs that would finish sooner
+        elsewhere.
+        """
         running = [run for run in runs if run.state is RunState.RUNNING]
         stalled = [run for run in running if now - run.progress_at >= STALL_SECONDS]
         if stalled:
             self.stalled += len(stalled)
-            self.trial_at = now + TRIAL_SECONDS
-        self._look_at_pace(running, now)
+            self.trial_at = now + TRIAL_INTERVAL_SECONDS
+        self._update_pace(running, now)
         if not self.slow:
             return stalled
-        moved = [run for run in running if run in stalled or self._gains(run, now)]
+        moved = [
+            run
+            for run in running
+            if run in stalled or self._is_faster_elsewhere(run, now)
+        ]
         if moved:
-            self.trial_at = now + TRIAL_SECONDS
+            self.trial_at = now + TRIAL_INTERVAL_SECONDS
         return moved
 
-    def _look_at_pace(self, running: list[PlacedRun], now: float) -> None:
+    def _update_pace(self, running: list[PlacedRun], now: float) -> None:
         ratios = [
-            math.log(projected(run) / run.order.estimate)
+            math.log(projected_seconds(run) / run.order.estimate)
             for run in running
-            if tells_speed(run) and run.order.estimate > 0
+            if has_measurable_speed(run) and run.order.estimate > 0
         ]
-        if len(ratios) < LEAST_RUNS:
+        if len(ratios) < MIN_PACE_RUNS:
             self.pace = 0.0
             return
         self.pace = math.exp(sum(ratios) / len(ratios))
-        if self.pace >= slow_from(len(ratios)) * self.slowness and not self.slow:
+        if self.pace >= slow_threshold(len(ratios)) * self.slowness and not self.slow:
             self.slow_since = now
-            self.trial_at = now + TRIAL_SECONDS
+            self.trial_at = now + TRIAL_INTERVAL_SECONDS
 
-    def _gains(self, run: PlacedRun, now: float) -> bool:
-        """Return whether a run on a slow upstream would be done sooner elsewhere."""
-        if not tells_speed(run):
-            return now - run.started_at > YOUNG_SECONDS
-        total = projected(run)
+    def _is_faster_elsewhere(self, run: PlacedRun, now: float) -> bool:
+        """Return whether a run on a slow upstream would finish sooner elsewhere."""
+        if not has_measurable_speed(run):
+            return now - run.started_at > UNKNOWN_SPEED_SECONDS
+        total = projected_seconds(run)
         rest = total * (1 - run.progress)
-        return rest > run.order.estimate * self.slowness + MOVE_SECONDS
+        return rest > run.order.estimate * self.slowness + MOVE_OVERHEAD_SECONDS
 
-    def _note_failure(self, failed: float) -> None:
-        weight = TRIAL_WEIGHT if self.failing else FAILURE_WEIGHT
+    def _update_failures(self, failed: float) -> None:
+        weight = TRIAL_FAILURE_WEIGHT if self.failing else FAILURE_WEIGHT
         self.failures += weight * (failed - self.failures)
-        limit = SOUND_SHARE if self.failing else FAILING_SHARE
+        limit = RECOVERED_FAILURE_SHARE if self.failing else TRIAL_FAILURE_SHARE
         self.failing = self.failures >= limit
 
-    def _learn(self, run: PlacedRun, ran: float) -> None:
+    def _update_slowness(self, run: PlacedRun, ran: float) -> None:
         if run.order is None or run.order.estimate <= 0 or ran <= 0:
             return
-        ratio = min(max(ran / run.order.estimate, LEAST_SLOWNESS), MOST_SLOWNESS)
+        ratio = min(max(ran / run.order.estimate, MIN_SLOWNESS), MAX_SLOWNESS)
         if self.slow:
-            # Runs from before were quick until then; only a trial tells.
-            if run.started_at > self.slow_since and ratio < SLOW * self.slowness:
+            # Earlier runs were fast until then; only a trial task shows the speed.
+            if run.started_at > self.slow_since and ratio < SLOW_FACTOR * self.slowness:
                 self.slow_since = None
             return
-        self.slowness += SPEED_WEIGHT * (min(ratio, SLOW) - self.slowness)
+        self.slowness += SLOWNESS_WEIGHT * (min(ratio, SLOW_FACTOR) - self.slowness)
+
 
+def slow_threshold(runs: int) -> float:
+    """Return the multiple of the usual slowness from which a pace is slow.
 
-def slow_from(runs: int) -> float:
-    """Return the pace, times the usual, at which so many runs tell a slow upstream."""
-    chance = RUNNING_BIAS + CERTAINTY * RATIO_DEVIATION / math.sqrt(runs)
-    return max(SLOW, math.exp(chance))
+    Args:
+        runs: Number of runs from which the pace is computed. The fewer there are, the
+            higher the threshold.
+    """
+    chance = LOG_RATIO_BIAS + SLOW_DEVIATIONS * LOG_RATIO_DEVIATION / math.sqrt(runs)
+    return max(SLOW_FACTOR, math.exp(chance))
 
 
-def tells_speed(run: PlacedRun) -> bool:
-    """Return whether a run is old enough for its progress to tell its speed."""
+def has_measurable_speed(run: PlacedRun) -> bool:
+    """Return whether the speed of a run can be computed from its progress."""
     elapsed = run.progress_at - run.started_at
-    return run.progress >= LEAST_PROGRESS and elapsed >= LEAST_ELAPSED_SECONDS
+    return run.progress >= MIN_PROGRESS and elapsed >= MIN_ELAPSED_SECONDS
 
 
-def projected(run: PlacedRun) -> float:
-    """Return the seconds that a run will take in all, told by its progress."""
+def projected_seconds(run: PlacedRun) -> float:
+    """Return the total seconds that a run will take, extrapolated from its progress."""
     return (run.progress_at - run.started_at) / run.progress
--- a/bergamotcourse/coordination/jobs/upstream_life.py
+++ b/bergamotcourse/coordination/jobs/upstream_life.py
@@ -1,75 +1,78 @@
-"""One life of an upstream, as its agent knows it."""
+"""State of one life of an upstream at its agent."""
 
 from dataclasses import dataclass
 
 from bergamotcourse.coordination.jobs.lease_terms import (
-    LAPSE_SECONDS,
+    UPSTREAM_LEASE_EXPIRY_SECONDS,
     UPSTREAM_LEASE_SECONDS,
 )
 from bergamotcourse.protocol.upstream_orders import OrderPort, UpstreamReport
 
-SILENT_SECONDS = 0.42
-"""From the first renewal without an answer: a lease that was in force then is about to
-end, and each further renewal might extend it, so that the runs would never be known to
-be over."""
+UPSTREAM_SILENCE_SECONDS = 0.42
+"""Time from the first unanswered hold after which an upstream is considered silent. A
+lease in force at that hold is about to expire; each further renewal might extend it, so
+that its runs would never certainly have ended."""
 
-LEAST_FAILED_HOLDS = 3
-"""One or two may be lost on a sound upstream."""
+MIN_FAILED_HOLDS = 3
+"""A healthy upstream may lose one or two in a row."""
 
 
 @dataclass
 class UpstreamLife:
-    """An upstream between its start and its end.
+    """An upstream between one start and its end.
 
     Attributes:
-        port: Gives it orders.
-        clock_lead: Its clock less the agent's, in seconds.
-        noted: Ends up to this number are dealt with.
-        told: The last ``noted`` that it has confirmed.
-        lapses_at: When all runs there are over unless the lease is renewed.
-        failed_holds: Renewals in a row that had no answer.
-        unanswered_since: When the first of these was given up; ``None`` without any.
-        silent: It has not answered for so long that its lease is left to lapse.
-        fenced: It takes orders from a later process; there is nothing to ask it.
-        listed: Runs that it listed last, those of earlier processes too.
+        report: The last report of this life.
+        port: Sends orders to this life.
+        clock_offset: The upstream's clock minus the agent's, in seconds.
+        lapses_at: When all runs there have ended unless the lease is renewed, by the
+            agent's lease clock.
+        processed_ends: Number of the last end that has been processed.
+        acknowledged_ends: The last ``processed_ends`` sent in a hold that was answered.
+        failed_holds: Consecutive holds without an answer.
+        unanswered_since: When the first of these failed; ``None`` without any.
+        silent: It has not answered for so long that its lease is left to expire.
+        fenced: It takes orders from a later process and refuses those of this one.
+        listed_runs: Number of runs in its last list, including those of earlier
+            processes.
     """
 
     report: UpstreamReport
     port: OrderPort
-    clock_lead: float
+    clock_offset: float
     lapses_at: float
-    noted: int = 0
-    told: int = 0
+    processed_ends: int = 0
+    acknowledged_ends: int = 0
     failed_holds: int = 0
     unanswered_since: float | None = None
     silent: bool = False
     fenced: bool = False
-    listed: int = 0
+    listed_runs: int = 0
 
-    def hold_failed(self, now: float) -> bool:
-        """Note a renewal without an answer; true if it is taken as silent from now."""
+    def record_failed_hold(self, now: float) -> bool:
+        """Record an unanswered hold; return whether the upstream became silent now."""
         self.failed_holds += 1
         if self.unanswered_since is None:
             self.unanswered_since = now
         was_silent = self.silent
-        lasts = now - self.unanswered_since >= SILENT_SECONDS
-        self.silent = lasts and self.failed_holds >= LEAST_FAILED_HOLDS
+        lasts = now - self.unanswered_since >= UPSTREAM_SILENCE_SECONDS
+        self.silent = lasts and self.failed_holds >= MIN_FAILED_HOLDS
         return self.silent and not was_silent
 
-    def hold_answered(self) -> bool:
-        """Note a renewal that was answered; true if it was taken as silent before."""
+    def record_answered_hold(self) -> bool:
+        """Record an answered hold; return whether the upstream was silent before."""
         was_silent = self.silent
         self.failed_holds = 0
         self.unanswered_since = None
         self.silent = False
         return was_silent
 
-    def note_clock(self, clock: float | None, now: float) -> None:
-        """Take the upstream's clock from an answer."""
+    def update_clock(self, clock: float | None, now: float) -> None:
+        """Update the clock offset from the clock in an answer or report, if any."""
         if clock is not None:
-            self.clock_lead = clock - now
+            self.clock_offset = clock - now
 
-    def renew(self, now: float) -> float:
-        """Return the lease's end to order now, on the upstream's clock."""
-        self.lapses_at = max(self.lapses_at, now + LAPSE_SECONDS)
-        return now + self.clock_lead + UPSTREAM_LEASE_SECONDS
+    def extend_lease(self, now: float) -> float:
+        """Extend the lease; return its new end to order, by the upstream's clock."""
+        self.lapses_at = max(self.lapses_at, now + UPSTREAM_LEASE_EXPIRY_SECONDS)
+        return now + self.clock_offset + UPSTREAM_LEASE_SECONDS
--- a/bergamotcourse/daemons/job_agent.py
+++ b/bergamotcourse/daemons/job_agent.py
@@ -66,7 +66,7 @@
         report = await self.upstreams.read_own(self.node.address)
         if report is not None and self.executor.life is None:
             self.upstreams.last_stored = report
-            await self.executor.recall(report)
+            await self.executor.recall_upstream(report)
             self.contacts.tell_all()
 
     def _upstream_changed(self) -> None:
@@ -84,14 +84,14 @@
     async def stop(self) -> None:
         """Finish what runs, or stop it for others to run, then end."""
         executor = self.executor
-        self.node.log.write("agent.stopping", runs=len(executor.book.runs))
+        self.node.log.write("agent.stopping", runs=len(executor.registry.runs))
         executor.stopping = True
-        executor.book.return_waiting("the agent is stopping")
+        executor.registry.return_queued_runs("the agent is stopping")
         self.contacts.tell_all()
         seconds = self.node.settings.stop_seconds - STOP_RUNS_SECONDS
-        if not await wait_until(lambda: not executor.book.runs, seconds):
-            executor.stop_all("the agent is stopping")
-            await wait_until(lambda: not executor.book.runs, LAST_OUTCOMES_SECONDS)
+        if not await wait_until(lambda: not executor.registry.runs, seconds):
+            executor.stop_all_runs("the agent is stopping")
+            await wait_until(lambda: not executor.registry.runs, LAST_OUTCOMES_SECONDS)
         await wait_until(self.contacts.all_confirmed, LAST_OUTCOMES_SECONDS)
-        if not executor.book.runs:
+        if not executor.registry.runs:
             self.contacts.say_farewell()
--- a/bergamotcourse/platform/reports.py
+++ b/bergamotcourse/platform/reports.py
@@ -59,7 +59,7 @@
             self.log.write("report.skipped", upstream=upstream, why=str(error))
             return plain_problem(400, f"malformed report: {error}")
         before = self._known()
-        self.executor.take_report(report)
+        self.executor.handle_upstream_report(report)
         if self._known() != before:
             self.on_change()
         return json_answer({})
@@ -71,7 +71,7 @@
             # It ends all the same, and tells nobody else.
             self.log.write("departure.malformed", upstream=upstream, why=str(error))
             life = decode_departure(upstream, b"")
-        self.executor.take_departure(life)
+        self.executor.handle_upstream_departure(life)
         return json_answer({})
 
     def _known(self) -> tuple[LifeKey | None, str | None, Resources]:
--- a/bergamotcourse/tests/jobs/test_answer_time.py
+++ b/bergamotcourse/tests/jobs/test_answer_time.py
@@ -1,29 +1,29 @@
 from bergamotcourse.coordination.jobs.answer_time import (
-    LEAST_SECONDS,
-    MOST_SECONDS,
-    AnswerTime,
+    MAX_TIMEOUT_SECONDS,
+    MIN_TIMEOUT_SECONDS,
+    AnswerTimeEstimator,
 )
 
 
-def learnt(*seconds):
-    time = AnswerTime()
-    for one in seconds:
-        time.learn(one)
-    return time
+def estimator_with(*seconds):
+    estimator = AnswerTimeEstimator()
+    for sample in seconds:
+        estimator.add_sample(sample)
+    return estimator
 
 
-class TestAnswerTime:
-    def test_before_the_first_answer_it_waits_longest(self):
-        assert AnswerTime().timeout() == MOST_SECONDS
+class TestTimeout:
+    def test_is_longest_before_the_first_sample(self):
+        assert AnswerTimeEstimator().timeout() == MAX_TIMEOUT_SECONDS
 
-    def test_quick_answers_shorten_the_wait_down_to_a_bound(self):
-        assert learnt(*[0.003] * 20).timeout() == LEAST_SECONDS
+    def test_fast_answers_shorten_it_to_the_lower_bound(self):
+        assert estimator_with(*[0.003] * 20).timeout() == MIN_TIMEOUT_SECONDS
 
-    def test_slow_answers_lengthen_it_up_to_a_bound(self):
-        assert learnt(*[0.003] * 20, *[0.06] * 8).timeout() > 0.06
-        assert learnt(*[0.5] * 8).timeout() == MOST_SECONDS
+    def test_slow_answers_lengthen_it_to_the_upper_bound(self):
+        assert estimator_with(*[0.003] * 20, *[0.06] * 8).timeout() > 0.06
+        assert estimator_with(*[0.5] * 8).timeout() == MAX_TIMEOUT_SECONDS
 
-    def test_each_order_without_an_answer_doubles_it(self):
-        time = learnt(*[0.003] * 20)
-        assert time.timeout(1) == 2 * LEAST_SECONDS
-        assert time.timeout(9) == MOST_SECONDS
+    def test_doubles_for_each_unanswered_order_up_to_the_bound(self):
+        estimator = estimator_with(*[0.003] * 20)
+        assert estimator.timeout(1) == 2 * MIN_TIMEOUT_SECONDS
+        assert estimator.timeout(9) == MAX_TIMEOUT_SECONDS
--- a/bergamotcourse/tests/jobs/test_capacity_changes.py
+++ b/bergamotcourse/tests/jobs/test_capacity_changes.py
@@ -1,4 +1,4 @@
-"""Upstreams whose capacity shrinks and grows while they run."""
+"""Upstreams whose capacity shrinks or grows while they run tasks."""
 
 import random
 
@@ -11,42 +11,42 @@
 from bergamotcourse.tests.jobs.fleets import run_fleet
 from bergamotcourse.virtual.job_fleet import CAPACITY, NEEDS, QUEUE, REPORT_SECONDS, job
 
-SMALL = Resources(9_300, 65_536, 0)
-"""Room for three tasks."""
+REDUCED_CAPACITY = Resources(9_300, 65_536, 0)
+"""Capacity for three tasks."""
 
-KNOWN_SECONDS = REPORT_SECONDS + 0.1
-"""In which the agent of an upstream knows its capacity."""
+REPORT_DELAY_SECONDS = REPORT_SECONDS + 0.1
+"""Time within which an agent learns a changed capacity of its upstream."""
 
 
-def wide_job(name, work=0.5):
+def whole_upstream_job(name, work=0.5):
     """Return a job whose task needs all of an upstream."""
     return JobSpec(JobId(name), str(work), (StepSpec(1, CAPACITY, work),))
 
 
-class TestShrunk:
-    def test_no_more_is_started_than_it_has_room_for(self):
+class TestReducedCapacity:
+    def test_starts_stay_within_the_reduced_capacity(self):
         async def main(fleet):
             upstream = fleet.upstreams["agent-1"]
             upstream.guards = False
-            upstream.capacity = SMALL
-            await trio.sleep(KNOWN_SECONDS)
+            upstream.capacity = REDUCED_CAPACITY
+            await trio.sleep(REPORT_DELAY_SECONDS)
             most = []
             upstream.on_start = lambda _run: most.append(upstream.used().cpu)
             answer = await fleet.submit("entry-1", job("a", tasks=8, work=0.3))
             assert answer.outcome is JobOutcome.SUCCEEDED
-            assert max(most) <= SMALL.cpu
+            assert max(most) <= REDUCED_CAPACITY.cpu
 
         run_fleet(main, agents=1)
 
-    def test_what_runs_beyond_it_still_counts(self):
+    def test_runs_beyond_the_reduced_capacity_block_further_starts(self):
         async def main(fleet):
             upstream = fleet.upstreams["agent-1"]
             upstream.guards = False
             running = job("a", tasks=10, work=3.5)
             fleet.nursery.start_soon(fleet.submit, "entry-1", running)
             await trio.sleep(0.1)
-            upstream.capacity = SMALL
-            await trio.sleep(KNOWN_SECONDS)
+            upstream.capacity = REDUCED_CAPACITY
+            await trio.sleep(REPORT_DELAY_SECONDS)
             before = len(fleet.history)
             fleet.nursery.start_soon(fleet.submit, "entry-2", job("b", work=1.0))
             await trio.sleep(1.0)
@@ -54,27 +54,27 @@
 
         run_fleet(main, agents=1)
 
-    def test_a_job_that_fits_only_the_former_size_waits_for_it(self):
+    def test_job_that_fits_only_the_former_capacity_waits_for_it(self):
         async def main(fleet):
             upstream = fleet.upstreams["agent-1"]
-            upstream.capacity = SMALL
+            upstream.capacity = REDUCED_CAPACITY
             await trio.sleep(4.0)
             answers = []
 
             async def submit():
-                spec = wide_job("a", work=20.0)
+                spec = whole_upstream_job("a", work=20.0)
                 answers.append(await fleet.submit("entry-1", spec, QUEUE, 60.0))
 
             fleet.nursery.start_soon(submit)
             await trio.sleep(0.5)
             assert answers == []
             upstream.capacity = CAPACITY
-            await trio.sleep(KNOWN_SECONDS)
+            await trio.sleep(REPORT_DELAY_SECONDS)
             assert len(fleet.history) == 1
 
         run_fleet(main, agents=1)
 
-    def test_one_that_no_upstream_ever_had_room_for_is_refused_at_once(self):
+    def test_job_larger_than_any_known_capacity_is_refused_at_once(self):
         async def main(fleet):
             await trio.sleep(4.0)
             needs = Resources(CAPACITY.cpu + 1, 64, 0)
@@ -87,31 +87,31 @@
         run_fleet(main, agents=1)
 
 
-class TestGrown:
-    def test_its_room_is_used_at_once(self):
+class TestIncreasedCapacity:
+    def test_new_room_is_used_at_once(self):
         async def main(fleet):
-            fleet.upstreams["agent-1"].capacity = SMALL
-            await trio.sleep(KNOWN_SECONDS)
+            fleet.upstreams["agent-1"].capacity = REDUCED_CAPACITY
+            await trio.sleep(REPORT_DELAY_SECONDS)
             fleet.upstreams["agent-1"].capacity = CAPACITY
-            await trio.sleep(KNOWN_SECONDS)
+            await trio.sleep(REPORT_DELAY_SECONDS)
             await fleet.submit("entry-1", job("a", tasks=10, work=0.3))
             assert len({run.started_at for run in fleet.history}) == 1
 
         run_fleet(main, agents=1)
 
 
-class TestChanges:
-    """Upstreams that guard nothing change all the time, several entries use each."""
+class TestChangingCapacity:
+    """Upstreams change all the time and do not refuse starts beyond their capacity."""
 
     @pytest.mark.parametrize("seed", range(4))
-    def test_none_is_brought_over_its_capacity(self, seed):
+    def test_no_upstream_exceeds_its_capacity_under_random_changes(self, seed):
         async def main(fleet):
             rng = random.Random(seed)
             over = []
 
             def watch(upstream, shrunk_at):
                 def started(run):
-                    settled = trio.current_time() - shrunk_at[0] > KNOWN_SECONDS
+                    settled = trio.current_time() - shrunk_at[0] > REPORT_DELAY_SECONDS
                     if settled and upstream.used().cpu > upstream.capacity.cpu:
                         over.append((run.key, trio.current_time()))
 
--- a/bergamotcourse/tests/jobs/test_contact_on_demand.py
+++ b/bergamotcourse/tests/jobs/test_contact_on_demand.py
@@ -7,9 +7,9 @@
 from bergamotcourse.coordination.jobs.entry_contact import EntryContact
 from bergamotcourse.coordination.jobs.job_run import JobOutcome
 from bergamotcourse.coordination.jobs.lease_terms import (
-    OPEN_SECONDS,
-    OVER_SECONDS,
-    WARM_SECONDS,
+    ALL_RUNS_ENDED_SECONDS,
+    FIRST_PLACEMENT_TIMEOUT_SECONDS,
+    RECENT_ENTRY_SECONDS,
 )
 from bergamotcourse.protocol.task_messages import EntryTurn, Hello
 from bergamotcourse.protocol.upstream_orders import EndKind
@@ -83,7 +83,11 @@
             begun = trio.current_time()
             answer = await fleet.submit("entry-1", job("a", tasks=8, work=0.2))
             assert answer.outcome is JobOutcome.SUCCEEDED
-            assert answer.at - begun < 0.2 + 3 * OPEN_SECONDS < OVER_SECONDS
+            assert (
+                answer.at - begun
+                < 0.2 + 3 * FIRST_PLACEMENT_TIMEOUT_SECONDS
+                < ALL_RUNS_ENDED_SECONDS
+            )
             assert fleet.overlaps() == []
 
         run_fleet(main, agents=3)
@@ -118,7 +122,7 @@
             if earlier:
                 early = job("early", 2 * earlier, 2.0)
                 fleet.nursery.start_soon(fleet.submit, "entry-1", early)
-            await trio.sleep(WARM_SECONDS / 2)
+            await trio.sleep(RECENT_ENTRY_SECONDS / 2)
             fleet.network.cut(AGENT, ENTRY)
             await trio.sleep(links["agent-1"].heard_at + 0.39 - trio.current_time())
             links["agent-2"].unanswered = True
@@ -157,9 +161,9 @@
     other.unanswered = True
     fleet.network.cut(AGENT, ENTRY)
     fleet.nursery.start_soon(fleet.submit, "entry-1", job("a", tasks=1, work=2.0))
-    await trio.sleep(0.9 * OPEN_SECONDS)
+    await trio.sleep(0.9 * FIRST_PLACEMENT_TIMEOUT_SECONDS)
     other.unanswered = False
-    await trio.sleep(0.2 * OPEN_SECONDS)
+    await trio.sleep(0.2 * FIRST_PLACEMENT_TIMEOUT_SECONDS)
     fleet.network.heal(AGENT, ENTRY)
     await trio.sleep(2.0)
     return fleet.overlaps()
@@ -248,9 +252,9 @@
         other.unanswered = True
         spec = job("a", tasks=1, work=8.0)
         fleet.nursery.start_soon(fleet.submit, "entry-1", spec, QUEUE, 20.0)
-        await trio.sleep(0.9 * OPEN_SECONDS)
+        await trio.sleep(0.9 * FIRST_PLACEMENT_TIMEOUT_SECONDS)
         other.unanswered = False
-        await trio.sleep(0.2 * OPEN_SECONDS)
+        await trio.sleep(0.2 * FIRST_PLACEMENT_TIMEOUT_SECONDS)
         agent = fleet.agents["agent-1"]
         agent.contacts.entries[ENTRY].warm_until = trio.current_time() + 1.0
         while not agent.contacts.in_contact(ENTRY):
--- a/bergamotcourse/tests/jobs/test_contract_model.py
+++ b/bergamotcourse/tests/jobs/test_contract_model.py
@@ -15,9 +15,9 @@
 import pytest
 
 from bergamotcourse.coordination.jobs.lease_terms import (
-    CLOCK_ERROR,
-    CONTACT_SECONDS,
-    STOP_SECONDS,
+    CONTACT_LEASE_SECONDS,
+    MAX_CLOCK_DRIFT,
+    MAX_STOP_SECONDS,
     UPSTREAM_LEASE_SECONDS,
 )
 
@@ -55,8 +55,8 @@
         stops: An agent ends the runs of an entry whose contact has ended.
     """
 
-    contact: int = ticks(CONTACT_SECONDS)
-    lease: int = ticks(UPSTREAM_LEASE_SECONDS * (1 + CLOCK_ERROR))
+    contact: int = ticks(CONTACT_LEASE_SECONDS)
+    lease: int = ticks(UPSTREAM_LEASE_SECONDS * (1 + MAX_CLOCK_DRIFT))
     lapses: bool = True
     renews_for_the_wanted: bool = True
     starts_for_the_wanted: bool = True
@@ -152,7 +152,7 @@
 
 def explore(terms: Terms) -> tuple[int, State | None]:
     """Return how many states were visited, and one in which two runs may overlap."""
-    comes_again = ticks(RESEND_SECONDS) - ticks(STOP_SECONDS)
+    comes_again = ticks(RESEND_SECONDS) - ticks(MAX_STOP_SECONDS)
     seen: set[State] = set()
     todo = list(begin(terms))
     while todo:
@@ -180,7 +180,7 @@
             Terms(lapses=False),
             Terms(renews_for_the_wanted=False),
             Terms(starts_for_the_wanted=False),
-            Terms(contact=ticks(CONTACT_SECONDS) + 4),
+            Terms(contact=ticks(CONTACT_LEASE_SECONDS) + 4),
             Terms(lease=ticks(UPSTREAM_LEASE_SECONDS) + 5),
         ],
         ids=["no lapse", "renewals", "starts", "long contact", "long lease"],
--- a/bergamotcourse/tests/jobs/test_crashing_tasks.py
+++ b/bergamotcourse/tests/jobs/test_crashing_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that crash each upstream that starts them, and what the others get."""
+"""Tasks that crash every upstream that starts them, and their effect on other jobs."""
 
 from pathlib import Path
 
@@ -18,12 +18,12 @@
 
 LOAD = Path(bergamotcourse.__file__).parents[1] / "examples/loads/crashing-tasks.yaml"
 
-MOST_STARTS = 5
-"""Of a task that crashes its upstreams: three, and two that were under way or are
-ordered by an entry that does not know of them."""
+MAX_STARTS = 5
+"""Bound on the starts of a task that crashes its upstreams: three, and two that were in
+flight or are ordered by an entry that does not know of the crashes."""
 
-LONG = 20.0
-"""Seconds that a caller waits, longer than any of these jobs takes."""
+CALLER_TIMEOUT_SECONDS = 20.0
+"""Longer than any of these jobs takes."""
 
 
 def starts_of(fleet, task):
@@ -31,10 +31,12 @@
 
 
 class TestCrashingTask:
-    def test_is_given_up_and_its_job_has_failed(self):
+    def test_task_is_abandoned_and_its_job_fails(self):
         async def main(fleet):
             fleet.crashing.add("a.0.0.0")
-            answer = await fleet.submit("entry-1", job("a", work=2.0), QUEUE, LONG)
+            answer = await fleet.submit(
+                "entry-1", job("a", work=2.0), QUEUE, CALLER_TIMEOUT_SECONDS
+            )
             assert answer.outcome is JobOutcome.FAILED
             assert starts_of(fleet, "a.0.0.0") == MAX_UPSTREAM_CRASHES
             [settled] = fleet.logged("job.settled")
@@ -42,31 +44,35 @@
 
         run_fleet(main, agents=6)
 
-    def test_is_started_a_bounded_number_of_times_by_entries_that_are_lost(self):
+    def test_starts_stay_bounded_if_the_entry_is_lost(self):
         async def main(fleet):
             fleet.crashing.add("a.0.0.0")
             spec = job("a", tasks=1, work=4.0)
-            fleet.nursery.start_soon(fleet.submit, "entry-1", spec, QUEUE, LONG)
+            fleet.nursery.start_soon(
+                fleet.submit, "entry-1", spec, QUEUE, CALLER_TIMEOUT_SECONDS
+            )
             while starts_of(fleet, "a.0.0.0") < 2:
                 await trio.sleep(0.05)
             fleet.entries["entry-1"].kill()
             await trio.sleep(RESEND_SECONDS)
-            answer = await fleet.submit("entry-2", spec, QUEUE, LONG)
+            answer = await fleet.submit("entry-2", spec, QUEUE, CALLER_TIMEOUT_SECONDS)
             assert answer.outcome is JobOutcome.FAILED
-            assert starts_of(fleet, "a.0.0.0") <= MOST_STARTS
+            assert starts_of(fleet, "a.0.0.0") <= MAX_STARTS
 
         run_fleet(main, agents=8)
 
 
-class TestOthers:
-    def test_one_that_ran_beside_it_is_done_elsewhere(self):
+class TestOtherTasks:
+    def test_task_on_the_crashed_upstream_completes_elsewhere(self):
         async def main(fleet):
             fleet.crashing.add("b.0.0.0")
             answers = {}
 
             async def submit(name, tasks):
                 spec = job(name, tasks, work=1.0)
-                answers[name] = await fleet.submit("entry-1", spec, QUEUE, LONG)
+                answers[name] = await fleet.submit(
+                    "entry-1", spec, QUEUE, CALLER_TIMEOUT_SECONDS
+                )
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(submit, "a", 12)
@@ -77,36 +83,38 @@
 
         run_fleet(main, agents=3)
 
-    def test_the_planned_end_of_an_upstream_counts_for_nothing(self):
+    def test_planned_departure_of_an_upstream_is_not_counted_as_a_crash(self):
         async def main(fleet):
             spec = job("a", tasks=1, work=1.0)
             outcomes = []
 
             async def submit():
-                answer = await fleet.submit("entry-1", spec, QUEUE, LONG)
+                answer = await fleet.submit(
+                    "entry-1", spec, QUEUE, CALLER_TIMEOUT_SECONDS
+                )
                 outcomes.append(answer.outcome)
 
             fleet.nursery.start_soon(submit)
             for _ in range(MAX_UPSTREAM_CRASHES):
                 await trio.sleep(0.3)
                 [run] = [run for run in fleet.history if run.ended_at is None]
-                self.leave(fleet, run.upstream)
+                self.depart(fleet, run.upstream)
             await trio.sleep(3.0)
             assert outcomes == [JobOutcome.SUCCEEDED]
 
         run_fleet(main, agents=6)
 
-    def leave(self, fleet, upstream):
-        """Let an upstream end as planned, and tell its agent."""
+    def depart(self, fleet, upstream):
+        """End an upstream as planned, and notify its agent."""
         [agent] = [n for n, one in fleet.upstreams.items() if one.id == upstream]
         life = fleet.upstreams[agent]
         life.crash()
         gone = LifeKey(life.id, life.incarnation)
-        fleet.agents[agent].executor.take_departure(gone)
+        fleet.agents[agent].executor.handle_upstream_departure(gone)
 
-    def test_more_of_them_are_in_time_than_if_it_was_tried_on(self, monkeypatch):
+    def test_abandoning_crashing_tasks_lets_more_jobs_finish_in_time(self, monkeypatch):
         load = read_load(str(LOAD)).ok
-        given_up = replay(load, JobPolicy(), seed=1).total.share_earned()
+        abandoned = replay(load, JobPolicy(), seed=1).total.share_earned()
         monkeypatch.setattr(job_dispatcher, "MAX_UPSTREAM_CRASHES", 1000)
-        tried_on = replay(load, JobPolicy(), seed=1).total.share_earned()
-        assert given_up > tried_on + 0.02
+        retried = replay(load, JobPolicy(), seed=1).total.share_earned()
+        assert abandoned > retried + 0.02
--- a/bergamotcourse/tests/jobs/test_guards.py
+++ b/bergamotcourse/tests/jobs/test_guards.py
@@ -1,4 +1,4 @@
-"""Each guard against overlapping runs, switched off alone, lets two runs overlap."""
+"""Each guard against overlapping runs is necessary: without it, two runs overlap."""
 
 import trio
 
@@ -11,40 +11,40 @@
 from bergamotcourse.virtual.job_fleet import QUEUE, job
 from bergamotcourse.virtual.pause import VirtualTimers
 
-RESEND_SECONDS = 1.3
-LONG = job("a", tasks=8, work=4.0)
-QUEUE_AND_TIME = (QUEUE, 30.0)
+CALLER_RESEND_SECONDS = 1.3
+LONG_JOB = job("a", tasks=8, work=4.0)
+QUEUE_AND_TIMEOUT = (QUEUE, 30.0)
 
 
 async def entry_killed(fleet):
-    """An entry is killed; its caller sends the job again to another."""
-    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG, *QUEUE_AND_TIME)
+    """An entry is killed; its caller resends the job to another entry."""
+    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG_JOB, *QUEUE_AND_TIMEOUT)
     await trio.sleep(0.5)
     fleet.entries["entry-1"].kill()
-    await trio.sleep(RESEND_SECONDS)
-    fleet.nursery.start_soon(fleet.submit, "entry-2", LONG, *QUEUE_AND_TIME)
+    await trio.sleep(CALLER_RESEND_SECONDS)
+    fleet.nursery.start_soon(fleet.submit, "entry-2", LONG_JOB, *QUEUE_AND_TIMEOUT)
     await trio.sleep(2.0)
     return fleet.overlaps()
 
 
 async def all_killed(fleet):
-    """An entry and all agents are killed, and the agents do not come back soon."""
-    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG, *QUEUE_AND_TIME)
+    """An entry and all agents are killed; only the upstreams' leases end the runs."""
+    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG_JOB, *QUEUE_AND_TIMEOUT)
     await trio.sleep(0.5)
     fleet.entries["entry-1"].kill()
     for agent in list(fleet.agents):
         fleet.agents[agent].kill()
     for upstream in list(fleet.upstreams):
         fleet.start_agent(upstream)
-    await trio.sleep(RESEND_SECONDS)
-    fleet.nursery.start_soon(fleet.submit, "entry-2", LONG, *QUEUE_AND_TIME)
+    await trio.sleep(CALLER_RESEND_SECONDS)
+    fleet.nursery.start_soon(fleet.submit, "entry-2", LONG_JOB, *QUEUE_AND_TIMEOUT)
     await trio.sleep(2.0)
     return fleet.overlaps()
 
 
 async def agent_cut(fleet):
     """An agent is cut off from the entry whose tasks it runs."""
-    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG, *QUEUE_AND_TIME)
+    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG_JOB, *QUEUE_AND_TIMEOUT)
     await trio.sleep(0.5)
     fleet.network.cut("tcp://entry-1", "tcp://agent-1")
     fleet.network.cut("tcp://agent-1", "tcp://entry-1")
@@ -53,10 +53,10 @@
 
 
 async def agent_frozen(fleet):
-    """An agent is suspended with a placement in its buffer, while its entry goes on."""
+    """An agent is suspended with a placement in its buffer; its entry continues."""
     agent = fleet.agents["agent-1"]
     agent.freeze()
-    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG, *QUEUE_AND_TIME)
+    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG_JOB, *QUEUE_AND_TIMEOUT)
     await trio.sleep(1.6)
     agent.thaw()
     await trio.sleep(1.0)
@@ -64,8 +64,8 @@
 
 
 async def agent_restarted(fleet):
-    """An agent's process is replaced at once; its upstream runs on."""
-    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG, *QUEUE_AND_TIME)
+    """An agent's process is replaced at once while its upstream continues."""
+    fleet.nursery.start_soon(fleet.submit, "entry-1", LONG_JOB, *QUEUE_AND_TIMEOUT)
     await trio.sleep(0.5)
     fleet.agents["agent-1"].kill()
     fleet.report_seconds = 0.02
@@ -74,90 +74,92 @@
     return fleet.overlaps()
 
 
-async def start_lost(fleet):
-    """Orders to start get no answer; they are carried out seconds later."""
+async def start_reply_lost(fleet):
+    """Start orders get no answer; they are carried out seconds later."""
     for upstream in fleet.upstreams.values():
         upstream.behaviour.unanswered = 0.5
     short = job("a", tasks=8, work=3.0)
-    fleet.nursery.start_soon(fleet.submit, "entry-1", short, *QUEUE_AND_TIME)
+    fleet.nursery.start_soon(fleet.submit, "entry-1", short, *QUEUE_AND_TIMEOUT)
     await trio.sleep(9.0)
     return fleet.overlaps()
 
 
 class TestWithAllGuards:
-    def test_nothing_overlaps(self):
+    def test_no_run_overlaps(self):
         for scenario in (
             entry_killed,
             all_killed,
             agent_cut,
             agent_frozen,
             agent_restarted,
-            start_lost,
+            start_reply_lost,
         ):
             assert run_fleet(scenario) == [], scenario.__name__
 
 
-class TestWithout:
+class TestRunsOverlapWithout:
     def test_the_contact_lease(self, monkeypatch):
         monkeypatch.setattr(EntryContact, "has_lease", lambda self, now: True)
         assert run_fleet(entry_killed)
 
     def test_the_upstream_lease(self, monkeypatch):
-        def renew(self, now):
-            return now + self.clock_lead + 100.0
+        def extend_lease(self, now):
+            return now + self.clock_offset + 100.0
 
-        monkeypatch.setattr(upstream_life.UpstreamLife, "renew", renew)
+        monkeypatch.setattr(upstream_life.UpstreamLife, "extend_lease", extend_lease)
         monkeypatch.setattr(
             "bergamotcourse.standins.order_upstream.MOST_LEASE_SECONDS", 100.0
         )
         assert run_fleet(all_killed)
 
     def test_the_wait_until_the_runs_of_a_silent_agent_are_over(self, monkeypatch):
-        monkeypatch.setattr(agent_link, "OVER_SECONDS", 0.3)
+        monkeypatch.setattr(agent_link, "ALL_RUNS_ENDED_SECONDS", 0.3)
         assert run_fleet(agent_cut)
 
     def test_a_contact_lease_shorter_than_that_wait(self, monkeypatch):
-        monkeypatch.setattr(entry_contact, "CONTACT_SECONDS", 2.0)
+        monkeypatch.setattr(entry_contact, "CONTACT_LEASE_SECONDS", 2.0)
         assert run_fleet(agent_cut)
 
-    def test_a_clock_that_counts_suspensions(self, monkeypatch):
-        """Measured on a clock that stands still, old contact looks alive on thaw."""
+    def test_a_lease_clock_that_counts_suspensions(self, monkeypatch):
+        """If the clock stops while suspended, lost contact seems valid afterwards."""
         original = VirtualTimers.lease_now
-        frozen_since, lost = {}, {}
+        frozen_since, suspended = {}, {}
 
         def lease_now(self):
             now = original(self)
             if self.pause.frozen:
                 now = frozen_since.setdefault(self, now)
             elif self in frozen_since:
-                lost[self] = now - frozen_since.pop(self)
-            return now - lost.get(self, 0.0)
+                suspended[self] = now - frozen_since.pop(self)
+            return now - suspended.get(self, 0.0)
 
         monkeypatch.setattr(VirtualTimers, "lease_now", lease_now)
         assert run_fleet(agent_frozen)
 
-    def test_barring_what_a_former_process_may_have_started(self, monkeypatch):
+    def test_barring_runs_that_an_earlier_process_may_have_started(self, monkeypatch):
         def withdraw(self, entry, key):
-            run = self.book.runs.get(key)
+            run = self.registry.runs.get(key)
             if run is not None:
                 self._stop(run, "withdrawn")
                 return
-            self.book.report_end(entry, TaskEnded(key, Outcome.RETURNED))
+            self.registry.report_end(entry, TaskEnded(key, Outcome.RETURNED))
 
         monkeypatch.setattr(Executor, "withdraw", withdraw)
         assert run_fleet(agent_restarted)
 
-    def test_barring_a_start_that_had_no_answer(self, monkeypatch):
+    def test_barring_a_run_whose_start_order_had_no_answer(self, monkeypatch):
         def take_verdict(self, run, verdict):
             if verdict is StartVerdict.UNKNOWN:
-                self.book.finish(run, Outcome.RETURNED, "no answer")
+                self.registry.finish(run, Outcome.RETURNED, "no answer")
             else:
                 original(self, run, verdict)
 
-        def long_renew(self, now):
-            return now + self.clock_lead + 100.0
+        def extend_lease_far(self, now):
+            return now + self.clock_offset + 100.0
 
-        original = Executor._take_verdict
-        monkeypatch.setattr(Executor, "_take_verdict", take_verdict)
-        monkeypatch.setattr(upstream_life.UpstreamLife, "renew", long_renew)
-        assert run_fleet(start_lost)
+        original = Executor._handle_start_verdict
+        monkeypatch.setattr(Executor, "_handle_start_verdict", take_verdict)
+        monkeypatch.setattr(
+            upstream_life.UpstreamLife, "extend_lease", extend_lease_far
+        )
+        assert run_fleet(start_reply_lost)
--- a/bergamotcourse/tests/jobs/test_item_stream.py
+++ b/bergamotcourse/tests/jobs/test_item_stream.py
@@ -7,8 +7,8 @@
     Outgoing,
 )
 from bergamotcourse.coordination.jobs.lease_terms import (
-    MOST_RESEND_SECONDS,
-    RESEND_SECONDS,
+    MAX_RETRANSMIT_SECONDS,
+    RETRANSMIT_SECONDS,
 )
 
 
@@ -33,24 +33,24 @@
         assert out.take(0.0) == (1, ["a"])
         out.add(Letter("b"))
         assert out.take(0.1) == (2, ["b"])
-        assert not out.is_late(RESEND_SECONDS - 0.01)
-        assert out.take(RESEND_SECONDS - 0.01) == (3, [])
+        assert not out.is_late(RETRANSMIT_SECONDS - 0.01)
+        assert out.take(RETRANSMIT_SECONDS - 0.01) == (3, [])
 
     def test_a_later_item_does_not_put_off_the_oldest(self):
         """Behind a lost one nothing is taken, so the lost one must not wait."""
         out = outgoing("a")
         out.take(0.0)
         out.add(Letter("b"))
-        out.take(RESEND_SECONDS / 2)
-        assert out.is_late(RESEND_SECONDS)
-        assert out.take(RESEND_SECONDS) == (1, ["a", "b"])
+        out.take(RETRANSMIT_SECONDS / 2)
+        assert out.is_late(RETRANSMIT_SECONDS)
+        assert out.take(RETRANSMIT_SECONDS) == (1, ["a", "b"])
 
     def test_the_time_until_an_item_is_late_starts_with_each_confirmation(self):
         out = outgoing("ab")
         out.take(0.0)
         out.confirm(1, 0.1)
-        assert not out.is_late(RESEND_SECONDS)
-        assert out.is_late(0.1 + RESEND_SECONDS)
+        assert not out.is_late(RETRANSMIT_SECONDS)
+        assert out.is_late(0.1 + RETRANSMIT_SECONDS)
 
     def test_waits_longer_each_time_up_to_a_bound(self):
         out = outgoing("a")
@@ -63,60 +63,60 @@
             waits.append(now - begun)
             out.take(now)
         assert waits[1] > 1.5 * waits[0]
-        assert max(waits) < MOST_RESEND_SECONDS + 0.02
+        assert max(waits) < MAX_RETRANSMIT_SECONDS + 0.02
 
     def test_sends_again_what_was_not_confirmed(self):
         out = outgoing("abc")
         out.take(0.0)
         out.confirm(1, 0.0)
-        assert out.is_late(RESEND_SECONDS)
-        assert out.take(RESEND_SECONDS) == (2, ["b", "c"])
+        assert out.is_late(RETRANSMIT_SECONDS)
+        assert out.take(RETRANSMIT_SECONDS) == (2, ["b", "c"])
 
     def test_sends_no_more_again_at_a_time_than_fits_into_a_packet(self):
         out = outgoing("aBcd")
         out.take(0.0)
-        assert out.take(RESEND_SECONDS) == (1, ["a"])
-        out.confirm(1, RESEND_SECONDS)
-        assert out.take(RESEND_SECONDS) == (2, ["B"])
-        out.confirm(2, RESEND_SECONDS)
-        assert out.take(RESEND_SECONDS) == (3, ["c", "d"])
+        assert out.take(RETRANSMIT_SECONDS) == (1, ["a"])
+        out.confirm(1, RETRANSMIT_SECONDS)
+        assert out.take(RETRANSMIT_SECONDS) == (2, ["B"])
+        out.confirm(2, RETRANSMIT_SECONDS)
+        assert out.take(RETRANSMIT_SECONDS) == (3, ["c", "d"])
 
     def test_sends_again_only_what_has_not_come(self):
         out = outgoing("ABCD")
         out.take(0.0)
-        assert out.take(RESEND_SECONDS) == (1, ["A"])
-        out.confirm(3, RESEND_SECONDS)
-        assert out.is_late(RESEND_SECONDS)
-        assert out.take(RESEND_SECONDS) == (4, ["D"])
+        assert out.take(RETRANSMIT_SECONDS) == (1, ["A"])
+        out.confirm(3, RETRANSMIT_SECONDS)
+        assert out.is_late(RETRANSMIT_SECONDS)
+        assert out.take(RETRANSMIT_SECONDS) == (4, ["D"])
 
     def test_waits_before_it_sends_what_was_new_after_a_loss(self):
         out = outgoing("AB")
         out.take(0.0)
-        out.take(RESEND_SECONDS)
+        out.take(RETRANSMIT_SECONDS)
         out.add(Letter("c"))
-        out.confirm(2, RESEND_SECONDS)
-        assert not out.is_late(RESEND_SECONDS)
-        assert out.take(RESEND_SECONDS) == (3, ["c"])
-        assert not out.is_late(RESEND_SECONDS + 0.01)
+        out.confirm(2, RETRANSMIT_SECONDS)
+        assert not out.is_late(RETRANSMIT_SECONDS)
+        assert out.take(RETRANSMIT_SECONDS) == (3, ["c"])
+        assert not out.is_late(RETRANSMIT_SECONDS + 0.01)
 
     def test_sends_a_large_item_again_alone(self):
         out = outgoing("AB")
         out.take(0.0)
-        assert out.take(RESEND_SECONDS) == (1, ["A"])
+        assert out.take(RETRANSMIT_SECONDS) == (1, ["A"])
 
     def test_sends_nothing_new_behind_an_item_that_is_sent_again(self):
         out = outgoing("a")
         out.take(0.0)
-        out.take(RESEND_SECONDS)
+        out.take(RETRANSMIT_SECONDS)
         out.add(Letter("b"))
-        assert out.take(RESEND_SECONDS + 0.01) == (2, [])
-        out.confirm(1, RESEND_SECONDS + 0.02)
-        assert out.take(RESEND_SECONDS + 0.03) == (2, ["b"])
+        assert out.take(RETRANSMIT_SECONDS + 0.01) == (2, [])
+        out.confirm(1, RETRANSMIT_SECONDS + 0.02)
+        assert out.take(RETRANSMIT_SECONDS + 0.03) == (2, ["b"])
 
     def test_tells_the_last_item_also_while_it_sends_only_the_first_again(self):
         out = outgoing("AB")
         out.take(0.0)
-        assert out.take(RESEND_SECONDS) == (1, ["A"])
+        assert out.take(RETRANSMIT_SECONDS) == (1, ["A"])
         assert out.last == 2
 
     def test_a_restart_numbers_the_rest_anew(self):
@@ -176,7 +176,7 @@
                 if rng.random() < 0.5:
                     out.confirm(incoming.seen, now)
         for _ in range(50):
-            now += MOST_RESEND_SECONDS
+            now += MAX_RETRANSMIT_SECONDS
             received += incoming.accept(*out.take(now))
             out.confirm(incoming.seen, now)
         assert received == [str(number) for number in range(200)]
--- a/bergamotcourse/tests/jobs/test_order_giver.py
+++ b/bergamotcourse/tests/jobs/test_order_sender.py
@@ -1,10 +1,13 @@
-"""Orders that are repeated, and what their answers say together."""
+"""Repetition of start orders, and the verdict that follows from the answers."""
 
 import pytest
 import trio
 
-from bergamotcourse.coordination.jobs.lease_terms import LAPSE_SECONDS
-from bergamotcourse.coordination.jobs.order_giver import START_ATTEMPTS, OrderGiver
+from bergamotcourse.coordination.jobs.lease_terms import UPSTREAM_LEASE_EXPIRY_SECONDS
+from bergamotcourse.coordination.jobs.order_sender import (
+    MAX_START_ATTEMPTS,
+    OrderSender,
+)
 from bergamotcourse.coordination.jobs.task_runs import PlacedRun, RunState
 from bergamotcourse.coordination.jobs.upstream_life import UpstreamLife
 from bergamotcourse.coordination.timers import Timers
@@ -20,7 +23,7 @@
 
 
 class Port:
-    """Answers orders to start as told."""
+    """Answers start orders with the given verdicts, in order."""
 
     def __init__(self, verdicts):
         self.verdicts = list(verdicts)
@@ -36,9 +39,12 @@
 
 
 def order_start(*verdicts, may_start=lambda: True, stopped_at=0):
-    """Return what a start comes to, and how many answers were not asked for.
+    """Return the verdict of a start, and the number of unused answers.
 
-    The run is to be stopped while the order of a number is on its way.
+    Args:
+        verdicts: The answers of the upstream.
+        may_start: Passed to the order sender.
+        stopped_at: Orders after this number find that a stop is requested; 0 for none.
     """
 
     async def main():
@@ -48,60 +54,63 @@
         run.state = RunState.STARTING
 
         def stop(number):
-            run.stop_wanted = number > stopped_at > 0
+            run.stop_requested = number > stopped_at > 0
 
         port.on_order = stop
         life = UpstreamLife(None, port, 0.0, 0.0)
-        return await OrderGiver(Timers()).start(run, life, may_start), len(
+        return await OrderSender(Timers()).start(run, life, may_start), len(
             port.verdicts
         )
 
     return run_virtual(main, 1)
 
 
-class TestStart:
+class TestStartOrder:
     @pytest.mark.parametrize("verdict", [v for v in StartVerdict if v is not UNKNOWN])
-    def test_the_first_answer_holds(self, verdict):
+    def test_first_answer_is_final(self, verdict):
         assert order_start(verdict, UNKNOWN) == (verdict, 1)
 
-    def test_without_an_answer_it_is_repeated(self):
+    def test_unanswered_order_is_repeated_up_to_the_limit(self):
         assert order_start(UNKNOWN, StartVerdict.STARTED) == (StartVerdict.STARTED, 0)
-        assert order_start(*[UNKNOWN] * START_ATTEMPTS) == (UNKNOWN, 0)
+        assert order_start(*[UNKNOWN] * MAX_START_ATTEMPTS) == (UNKNOWN, 0)
 
     @pytest.mark.parametrize(
         "verdict",
         [v for v in StartVerdict if v not in (UNKNOWN, StartVerdict.STARTED)],
     )
-    def test_a_refused_copy_does_not_say_that_the_first_was_not_carried_out(
+    def test_refused_copy_does_not_prove_that_the_first_order_was_not_carried_out(
         self, verdict
     ):
         assert order_start(UNKNOWN, verdict)[0] is UNKNOWN
 
     @pytest.mark.parametrize("verdict", [StartVerdict.STALE, StartVerdict.NO_ROOM])
-    def test_nor_does_one_of_a_run_that_is_to_be_stopped(self, verdict):
-        """A run was told as never started, and a copy of its order may have been run.
+    def test_refused_copy_of_a_stopping_run_does_not_prove_it_either(self, verdict):
+        """Guards against reporting a run as never started that may have run.
 
-        The order had no answer, the run was barred, and the next copy was refused as
-        old for just that. The refusal was believed, as the run was to stop anyhow.
+        A start order gets no answer, the run is barred, and the next copy is refused as
+        stale because of that. The refusal must not count as proof although the run is
+        being stopped.
         """
         assert order_start(UNKNOWN, verdict, stopped_at=1)[0] is UNKNOWN
 
-    def test_a_copy_renews_the_lease_no_further(self):
+    def test_repeated_order_does_not_extend_the_lease(self):
         async def main():
-            port = Port([UNKNOWN] * START_ATTEMPTS)
+            port = Port([UNKNOWN] * MAX_START_ATTEMPTS)
             order = PlaceTask(KEY, "job", "", Resources(3100), 100, 0.4, 15)
             run = PlacedRun(KEY, LinkAddress("tcp://entry-1"), order, 0.0)
             life = UpstreamLife(None, port, 0.0, 0.0)
             timers = Timers()
             begun = timers.lease_now()
             port.pause = 0.1
-            await OrderGiver(timers).start(run, life, lambda: True)
+            await OrderSender(timers).start(run, life, lambda: True)
             assert len({copy.until for copy in port.orders}) == 1
-            assert life.lapses_at == pytest.approx(begun + LAPSE_SECONDS)
+            assert life.lapses_at == pytest.approx(
+                begun + UPSTREAM_LEASE_EXPIRY_SECONDS
+            )
 
         run_virtual(main, 1)
 
-    def test_nothing_is_ordered_once_contact_with_the_entry_is_lost(self):
+    def test_no_order_is_sent_after_contact_with_the_entry_is_lost(self):
         assert order_start(UNKNOWN, may_start=lambda: False) == (
             StartVerdict.TOO_LATE,
             1,
--- a/bergamotcourse/tests/jobs/test_resend_timer.py
+++ b/bergamotcourse/tests/jobs/test_resend_timer.py
@@ -2,8 +2,8 @@
 
 from bergamotcourse.coordination.jobs.item_stream import Outgoing
 from bergamotcourse.coordination.jobs.lease_terms import (
-    MOST_RESEND_SECONDS,
-    RESEND_SECONDS,
+    MAX_RETRANSMIT_SECONDS,
+    RETRANSMIT_SECONDS,
 )
 from bergamotcourse.coordination.jobs.resend_timer import ResendTimer
 from bergamotcourse.protocol.task_messages import WithdrawTask
@@ -18,27 +18,27 @@
         timer = ResendTimer()
         for _ in range(20):
             timer.learn(0.005)
-        assert timer.wait == RESEND_SECONDS
+        assert timer.wait == RETRANSMIT_SECONDS
 
     def test_outlasts_the_round_trips_of_a_full_link(self):
         timer = ResendTimer()
         for seconds in (0.2, 0.25, 0.3, 0.25, 0.3, 0.25):
             timer.learn(seconds)
-        assert 0.3 < timer.wait <= MOST_RESEND_SECONDS
+        assert 0.3 < timer.wait <= MAX_RETRANSMIT_SECONDS
 
     def test_waits_longer_each_time_up_to_a_bound(self):
         timer = ResendTimer()
         timer.expired()
-        assert timer.wait == pytest.approx(2 * RESEND_SECONDS)
+        assert timer.wait == pytest.approx(2 * RETRANSMIT_SECONDS)
         for _ in range(5):
             timer.expired()
-        assert timer.wait == MOST_RESEND_SECONDS
+        assert timer.wait == MAX_RETRANSMIT_SECONDS
 
     def test_comes_down_again_with_quick_answers(self):
         timer = ResendTimer()
         timer.expired()
         timer.learn(0.01)
-        assert timer.wait == RESEND_SECONDS
+        assert timer.wait == RETRANSMIT_SECONDS
 
 
 class TestStream:
@@ -49,18 +49,18 @@
         out = Outgoing()
         out.add(ITEM)
         out.take(0.0)
-        out.take(RESEND_SECONDS)
-        out.confirm(1, RESEND_SECONDS + 0.001)
+        out.take(RETRANSMIT_SECONDS)
+        out.confirm(1, RETRANSMIT_SECONDS + 0.001)
         assert out.timer.mean is None
-        assert out.timer.wait > RESEND_SECONDS
+        assert out.timer.wait > RETRANSMIT_SECONDS
 
     def test_the_next_item_gives_the_wait_back(self):
         out = Outgoing()
         out.add(ITEM)
         out.take(0.0)
-        out.take(RESEND_SECONDS)
+        out.take(RETRANSMIT_SECONDS)
         out.confirm(1, 0.2)
         out.add(ITEM)
         out.take(0.3)
         out.confirm(2, 0.31)
-        assert out.timer.wait == RESEND_SECONDS
+        assert out.timer.wait == RETRANSMIT_SECONDS
--- a/bergamotcourse/tests/jobs/test_single_run.py
+++ b/bergamotcourse/tests/jobs/test_single_run.py
@@ -1,4 +1,4 @@
-"""No two runs of a task at the same time, whatever fails."""
+"""No two runs of a task overlap, whatever fails."""
 
 import pytest
 import trio
@@ -11,23 +11,23 @@
 
 
 async def resend(fleet, spec, entry):
-    """Send a job again as a caller does whose connection broke just now."""
+    """Resend a job like a caller whose connection has just broken."""
     await trio.sleep(RESEND_SECONDS)
     return await fleet.submit(entry, spec)
 
 
-class TestBounds:
-    def test_the_leases_end_before_a_caller_sends_again(self):
-        assert lease_terms.OVER_SECONDS < RESEND_SECONDS
+class TestLeaseTerms:
+    def test_leases_expire_before_a_caller_resends(self):
+        assert lease_terms.ALL_RUNS_ENDED_SECONDS < RESEND_SECONDS
 
-    def test_the_leases_outlast_lost_heartbeats(self):
-        assert lease_terms.CONTACT_SECONDS >= 3 * lease_terms.HEARTBEAT_SECONDS
+    def test_leases_outlast_lost_heartbeats_and_renewals(self):
+        assert lease_terms.CONTACT_LEASE_SECONDS >= 3 * lease_terms.HEARTBEAT_SECONDS
         renewals = lease_terms.UPSTREAM_LEASE_SECONDS / lease_terms.HOLD_TIMEOUT_SECONDS
         assert renewals >= 3
 
 
 class TestLostEntry:
-    def test_killed_its_runs_are_over_when_the_caller_comes_again(self):
+    def test_killed_runs_end_before_the_caller_resends(self):
         async def main(fleet):
             spec = job("a", tasks=6, work=2.0)
             fleet.nursery.start_soon(fleet.submit, "entry-1", spec)
@@ -40,8 +40,8 @@
 
         run_fleet(main)
 
-    def test_killed_together_with_the_agents(self):
-        """The agents cannot stop anything: the upstreams' leases have to lapse."""
+    def test_killed_with_all_agents_runs_end_with_the_upstream_lease(self):
+        """The agents cannot stop the runs: the upstreams' leases have to expire."""
 
         async def main(fleet):
             spec = job("a", tasks=6, work=2.0)
@@ -57,7 +57,7 @@
 
         run_fleet(main)
 
-    def test_frozen_it_places_nothing_more_in_its_old_session(self):
+    def test_frozen_entry_places_nothing_in_its_former_session(self):
         async def main(fleet):
             spec = job("a", tasks=6, work=1.0)
             fleet.nursery.start_soon(fleet.submit, "entry-1", spec)
@@ -75,7 +75,7 @@
 
 
 class TestLostAgent:
-    def test_killed_its_tasks_run_elsewhere_once_its_lease_is_over(self):
+    def test_killed_tasks_run_elsewhere_after_lease_expiry(self):
         async def main(fleet):
             spec = job("a", tasks=4, work=1.0)
             begun = trio.current_time()
@@ -87,12 +87,12 @@
             assert again
             assert len(fleet.history) == 4 + len(again)
             assert fleet.overlaps() == []
-            over = 0.3 + lease_terms.OVER_SECONDS + 1.0
-            assert answer.at - begun < over + 0.1
+            deadline = 0.3 + lease_terms.ALL_RUNS_ENDED_SECONDS + 1.0
+            assert answer.at - begun < deadline + 0.1
 
         run_fleet(main)
 
-    def test_killed_and_back_at_once(self):
+    def test_killed_and_restarted_at_once_no_run_overlaps(self):
         async def main(fleet):
             spec = job("a", tasks=4, work=1.0)
             fleet.nursery.start_soon(self.kill_agent, fleet, "agent-1", 0.02)
@@ -102,37 +102,37 @@
 
         run_fleet(main)
 
-    @pytest.mark.parametrize(("away", "before"), [(0.05, 0), (2.0, 4)])
-    def test_back_without_work_it_notes_the_ends_from_before(self, away, before):
+    @pytest.mark.parametrize(("downtime", "ended"), [(0.05, 0), (2.0, 4)])
+    def test_restarted_idle_agent_acknowledges_earlier_ends(self, downtime, ended):
         async def main(fleet):
             fleet.nursery.start_soon(fleet.submit, "entry-1", job("a", 4, 1.0))
             await trio.sleep(0.3)
             fleet.agents["agent-1"].kill()
             fleet.entries["entry-1"].kill()
-            await trio.sleep(away)
-            assert len(fleet.upstreams["agent-1"].ended) == before
+            await trio.sleep(downtime)
+            assert len(fleet.upstreams["agent-1"].ended) == ended
             fleet.start_agent("agent-1")
             await trio.sleep(2.0)
             assert fleet.upstreams["agent-1"].ended == []
 
         run_fleet(main, agents=1)
 
-    def test_paused_it_renews_nothing_before_it_has_noticed(self):
-        """Its contact with the entry has ended; it goes on with the next renewal."""
+    def test_resumed_agent_without_contact_does_not_renew_the_lease(self):
+        """Contact has ended during a pause; the next hold must not renew the lease."""
 
         async def main(fleet):
             fleet.nursery.start_soon(fleet.submit, "entry-1", job("a", 4, 3.0))
             await trio.sleep(0.5)
             fleet.agents["agent-1"].executor.may_start = lambda entry: False
-            lapses_by = trio.current_time() + lease_terms.LAPSE_SECONDS
+            lapses_by = trio.current_time() + lease_terms.UPSTREAM_LEASE_EXPIRY_SECONDS
             await trio.sleep(2.0)
             assert len(fleet.history) == 4
             assert all(run.ended_at < lapses_by for run in fleet.history)
 
         run_fleet(main, agents=1)
 
-    @pytest.mark.parametrize("away", [0.05, 0.5, 1.0])
-    def test_back_it_cannot_say_that_what_was_placed_before_has_not_run(self, away):
+    @pytest.mark.parametrize("downtime", [0.05, 0.5, 1.0])
+    def test_restarted_agent_does_not_report_earlier_runs_as_not_run(self, downtime):
         async def main(fleet):
             answers = []
 
@@ -144,7 +144,7 @@
             assert len(fleet.history) == 4
             fleet.agents["agent-1"].kill()
             fleet.upstreams["agent-1"].draining = True
-            await trio.sleep(away)
+            await trio.sleep(downtime)
             fleet.start_agent("agent-1")
             while not answers:
                 await trio.sleep(0.1)
@@ -153,7 +153,7 @@
         run_fleet(main, agents=1)
 
     @pytest.mark.parametrize("seconds", [0.2, 0.5, 0.9, 2.0])
-    def test_frozen(self, seconds):
+    def test_frozen_agent_overlaps_no_run(self, seconds):
         async def main(fleet):
             spec = job("a", tasks=8, work=1.0)
             agent = fleet.agents["agent-1"]
@@ -173,7 +173,7 @@
         run_fleet(main)
 
     @pytest.mark.parametrize("both_ways", [True, False])
-    def test_cut_from_its_entry(self, both_ways):
+    def test_agent_cut_from_its_entry_overlaps_no_run(self, both_ways):
         async def main(fleet):
             spec = job("a", tasks=8, work=2.0)
             entry, agent = "tcp://entry-1", "tcp://agent-1"
@@ -204,7 +204,7 @@
 
 
 class TestLostUpstream:
-    def test_crashed_its_tasks_run_elsewhere(self):
+    def test_tasks_of_a_crashed_upstream_run_elsewhere(self):
         async def main(fleet):
             spec = job("a", tasks=8, work=1.0)
 
@@ -221,7 +221,7 @@
 
         run_fleet(main)
 
-    def test_cut_from_its_agent(self):
+    def test_upstream_cut_from_its_agent_overlaps_no_run(self):
         async def main(fleet):
             spec = job("a", tasks=8, work=1.5)
 
@@ -239,7 +239,7 @@
         run_fleet(main)
 
     @pytest.mark.parametrize("seconds", [0.3, 1.0, 3.0])
-    def test_that_was_silent_is_used_again(self, seconds):
+    def test_silent_upstream_is_used_again_after_it_answers(self, seconds):
         async def main(fleet):
             fleet.nursery.start_soon(fleet.submit, "entry-1", job("a", work=1.0))
             await trio.sleep(0.3)
@@ -255,7 +255,7 @@
         run_fleet(main, agents=1)
 
     @pytest.mark.parametrize("restarts", [False, True])
-    def test_that_takes_orders_from_another_process_is_let_alone(self, restarts):
+    def test_fenced_agent_sends_no_further_holds(self, restarts):
         async def main(fleet):
             fleet.nursery.start_soon(fleet.submit, "entry-1", job("a", work=1.0))
             await trio.sleep(0.3)
@@ -265,15 +265,15 @@
                 fleet.agents["agent-1"].kill()
                 fleet.start_agent("agent-1")
             await trio.sleep(3.0)
-            asked = []
+            holds = []
             look = upstream.look
-            upstream.look = lambda *args: asked.append(args) or look(*args)
+            upstream.look = lambda *args: holds.append(args) or look(*args)
             await trio.sleep(5.0)
-            assert asked == []
+            assert holds == []
 
         run_fleet(main, agents=1)
 
-    def test_that_answers_late_or_never(self):
+    def test_unanswered_orders_cause_no_overlap(self):
         async def main(fleet):
             for upstream in fleet.upstreams.values():
                 upstream.behaviour.unanswered = 0.15
@@ -286,8 +286,8 @@
         run_fleet(main)
 
 
-class TestPlannedEnds:
-    def test_a_draining_upstream_starts_nothing_more(self):
+class TestDraining:
+    def test_draining_upstream_starts_no_run(self):
         async def main(fleet):
             upstream = fleet.upstreams["agent-1"]
             upstream.draining = True
@@ -299,10 +299,10 @@
         run_fleet(main)
 
 
-class TestChaos:
+class TestRandomFaults:
     @pytest.mark.parametrize("keeps_ids", [False, True])
     @pytest.mark.parametrize("seed", range(12))
-    def test_no_run_overlaps_and_all_is_served_afterwards(self, seed, keeps_ids):
+    def test_no_run_overlaps_and_jobs_succeed_afterwards(self, seed, keeps_ids):
         async def main(fleet):
             chaos = Chaos(fleet, seed, keeps_ids)
             for upstream in fleet.upstreams.values():
--- a/bergamotcourse/tests/jobs/test_upstream_log.py
+++ b/bergamotcourse/tests/jobs/test_upstream_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of an upstream whose word is passed over, or misses runs."""
+"""Log lines for ignored reports of an upstream and for runs that it does not list."""
 
 from dataclasses import replace
 
@@ -9,11 +9,11 @@
 
 
 class TestOldReports:
-    def test_are_told_with_what_was_known(self):
+    def test_are_logged_with_the_last_known_report(self):
         async def main(fleet):
             executor = fleet.agents["agent-1"].executor
             late = replace(executor.life.report, sequence=0, draining=True)
-            executor.take_report(late)
+            executor.handle_upstream_report(late)
             [line] = fleet.logged("upstream.report_old")
             assert (line["sequence"], line["last_sequence"]) == (0, 1)
             assert line["draining"]
@@ -22,7 +22,7 @@
 
 
 class TestUnlistedRuns:
-    def test_are_told(self):
+    def test_are_logged(self):
         async def main(fleet):
             fleet.nursery.start_soon(fleet.submit, "entry-1", job("a", 2, 2.0))
             await trio.sleep(0.3)
@@ -33,7 +33,7 @@
 
         run_fleet(main, agents=1)
 
-    def test_are_not_told_of_sound_runs(self):
+    def test_are_not_logged_for_healthy_runs(self):
         async def main(fleet):
             await fleet.submit("entry-1", job("a", 8, 0.3))
             assert fleet.logged("run.unlisted") == []
--- a/bergamotcourse/tests/jobs/test_upstream_restart.py
+++ b/bergamotcourse/tests/jobs/test_upstream_restart.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under the id that they had, and count anew."""
+"""Upstreams that restart under their former id and restart their numbering."""
 
 import pytest
 import trio
@@ -9,18 +9,18 @@
 from bergamotcourse.tests.jobs.fleets import run_fleet
 from bergamotcourse.virtual.job_fleet import REPORT_SECONDS, job
 
-AWAY_SECONDS = 1.0
+DOWNTIME_SECONDS = 1.0
 
 
 async def serve_jobs(fleet, count, tasks=8):
-    """Let some jobs run, so that ends and reports have been counted."""
+    """Run some jobs, so that the upstream has numbered ends and reports."""
     for number in range(count):
         answer = await fleet.submit("entry-1", job(f"before-{number}", tasks))
         assert answer.outcome is JobOutcome.SUCCEEDED
 
 
-async def restart(fleet, agent="agent-1", seconds=AWAY_SECONDS):
-    """Let an upstream crash and start again under its id."""
+async def restart(fleet, agent="agent-1", seconds=DOWNTIME_SECONDS):
+    """Crash an upstream and restart it under its id."""
     fleet.upstreams[agent].crash()
     await trio.sleep(seconds)
     return fleet.restart_upstream(agent)
@@ -30,14 +30,13 @@
     return [run for run in fleet.history if run.key.task.startswith(f"{name}.")]
 
 
-class TestLeaving:
-    def test_of_a_life_that_counts_anew_is_heeded(self):
-        """Tasks reached an upstream two seconds after it had said that it leaves.
+class TestDraining:
+    def test_of_a_restarted_upstream_is_applied(self):
+        """Guards against placing tasks on an upstream that has announced its departure.
 
-        It had started again 3.3 s before, under the id that it had, and counted its
-        reports from 1. Its agent went by the id alone, so it took the report for one
-        that had been overtaken: it logged "upstream.answers" after the start, and no
-        "upstream.draining", though it had acknowledged the report within 1 ms.
+        A restarted upstream numbers its reports from 1 again. An agent that compares
+        only id and sequence ignores the report as outdated: it acknowledges the report
+        but does not log "upstream.draining".
         """
 
         async def main(fleet):
@@ -53,13 +52,12 @@
 
 
 class TestEnds:
-    def test_of_a_life_that_counts_anew_are_taken(self):
-        """A job was refused with the word that it had not run, and had run.
+    def test_of_a_restarted_upstream_are_processed(self):
+        """Guards against refusing a job as not run that has run.
 
-        Its upstream had started again 0.15 s before, under the id that it had, and
-        numbered its ends from 1. Its agent went by the id alone and had noted higher
-        numbers, so the upstream, which ended the task as done after 174 ms, forgot that
-        end as noted. The agent logged "no progress at 0.98" half a second later.
+        A restarted upstream numbers its ends from 1 again. An agent that goes by the id
+        alone acknowledges higher numbers of the former life, so the upstream discards
+        the end of a completed task, and the agent considers the run stalled.
         """
 
         async def main(fleet):
@@ -73,15 +71,14 @@
         run_fleet(main, agents=1)
 
 
-class TestUnlisted:
+class TestUnlistedRuns:
     @pytest.mark.parametrize("after", [0.0, 0.05, 0.2, 0.4])
-    def test_a_run_that_has_started_is_not_told_as_not_run(self, after):
-        """A job was refused with the word that it had not run, and had run.
+    def test_started_run_is_not_reported_as_not_run(self, after):
+        """Guards against refusing a job as not run that has run.
 
-        Its agent logged "started" for the task, and 0.76 s later that it had been
-        "stopped before it started": it took each run that was barred and not listed for
-        one that had never begun, also those whose start it had been told. The entry
-        counts such a run as none, and refused the job within 1 ms.
+        An agent that reports every barred and unlisted run as "stopped before it
+        started" includes runs whose start was confirmed. The entry counts such a run as
+        not run, and refuses the job.
         """
 
         async def main(fleet):
@@ -97,37 +94,37 @@
         run_fleet(main, agents=1)
 
 
-class TestIdentity:
-    def test_a_report_of_the_life_before_is_ignored(self):
+class TestFormerLife:
+    def test_late_report_is_ignored(self):
         async def main(fleet):
             late = fleet.upstreams["agent-1"].report()
             await restart(fleet)
             await trio.sleep(REPORT_SECONDS)
             executor = fleet.agents["agent-1"].executor
-            assert not executor.take_report(late)
+            assert not executor.handle_upstream_report(late)
             assert executor.life.report.incarnation == late.incarnation + 1
 
         run_fleet(main)
 
-    def test_the_late_departure_of_the_life_before_is_ignored(self):
+    def test_late_departure_is_ignored(self):
         async def main(fleet):
             former = fleet.upstreams["agent-1"].report().life
             await restart(fleet)
             await trio.sleep(REPORT_SECONDS)
             executor = fleet.agents["agent-1"].executor
-            executor.take_departure(former)
+            executor.handle_upstream_departure(former)
             assert executor.refusal() is None
-            executor.take_departure(executor.life.report.life)
+            executor.handle_upstream_departure(executor.life.report.life)
             assert executor.refusal() == "no upstream"
 
         run_fleet(main)
 
-    def test_one_that_left_may_start_again_under_its_id(self):
+    def test_departed_upstream_may_restart_under_its_id(self):
         async def main(fleet):
             upstream = fleet.upstreams["agent-1"]
             upstream.crash()
             executor = fleet.agents["agent-1"].executor
-            executor.take_departure(LifeKey(upstream.id, Incarnation(0)))
+            executor.handle_upstream_departure(LifeKey(upstream.id, Incarnation(0)))
             assert executor.refusal() == "no upstream"
             fleet.restart_upstream("agent-1")
             await trio.sleep(REPORT_SECONDS)
@@ -136,60 +133,60 @@
         run_fleet(main)
 
 
-class TestOrdersToTheLifeBefore:
-    @pytest.mark.parametrize("away", [0.05, 0.1, 0.2, 0.3])
-    def test_do_not_reach_the_life_after_it(self, away):
-        """A run was told as over, or as never begun, and had begun or ran on.
+class TestOrdersToTheFormerLife:
+    @pytest.mark.parametrize("downtime", [0.05, 0.1, 0.2, 0.3])
+    def test_do_not_reach_the_next_life(self, downtime):
+        """Guards against a run reported as ended or never started that still runs.
 
-        Its upstream had started again under its id, and until that life reported itself
-        the agent's orders reached it. It lists nothing of before: at 0.36 s the agent
-        told a run of the former life as "stopped before it started". A run that it had
-        begun was given up with the former life at 1.08 s, "the upstream is gone", and
-        went on until 2.08 s, beside the next run of its task.
+        Until a restarted upstream sends its first report, orders for the former life
+        must not reach the new one. The new life does not list earlier runs, so the
+        agent would report such a run as "stopped before it started". A run that the new
+        life starts would be abandoned with the former life, and overlap the next run of
+        its task.
         """
 
         async def main(fleet):
             upstream = fleet.upstreams["agent-1"]
             carry_out = upstream.start
 
-            def start_and_be_cut_off(order, token):
+            def start_and_cut_off(order, token):
                 fleet.cut_upstreams.add("agent-1")
                 return carry_out(order, token)
 
-            async def come_back():
+            async def restart_later():
                 while not fleet.history:
                     await trio.sleep(0.01)
-                await trio.sleep(away)
+                await trio.sleep(downtime)
                 upstream.crash()
                 fleet.restart_upstream("agent-1")
                 fleet.cut_upstreams.clear()
 
-            upstream.start = start_and_be_cut_off
-            fleet.nursery.start_soon(come_back)
+            upstream.start = start_and_cut_off
+            fleet.nursery.start_soon(restart_later)
             await fleet.submit("entry-1", job("a", tasks=1, work=2.0))
-            began = {run.key.number for run in fleet.history}
-            told = fleet.logged("run.end")
-            never_began = {end["run"] for end in told if end["outcome"] == "returned"}
-            assert began & never_began == set()
+            started = {run.key.number for run in fleet.history}
+            ends = fleet.logged("run.end")
+            never_started = {end["run"] for end in ends if end["outcome"] == "returned"}
+            assert started & never_started == set()
             assert fleet.overlaps() == []
 
         run_fleet(main, agents=1)
 
-    @pytest.mark.parametrize("quiet", [0.30, 0.34, 0.38])
-    def test_do_not_keep_a_run_longer_than_is_counted(self, quiet):
-        """Two runs of a task overlapped after its agent was lost.
+    @pytest.mark.parametrize("silence", [0.30, 0.34, 0.38])
+    def test_do_not_extend_a_lease_beyond_the_assumed_expiry(self, silence):
+        """Guards against overlapping runs of a task after its agent is lost.
 
-        Its upstream had started again under its id, with a clock that begins at 0. The
-        first order asked for a lease until 0.65 s on by the clock of the life before,
-        15 s ahead: the upstream kept the run for 1.0 s, the longest that it grants.
+        The clock of a restarted upstream begins at 0. If the first order requests a
+        lease by the clock of the former life, 15 s ahead, the upstream grants its
+        longest lease of 1.0 s instead of 0.65 s.
         """
 
         async def main(fleet):
             await trio.sleep(10 * REPORT_SECONDS)
             await restart(fleet, seconds=0.0)
-            # Its entry hears nothing more of the agent.
+            # The entry receives nothing more from the agent.
             fleet.network.cut("tcp://agent-1", "tcp://entry-1")
-            await trio.sleep(quiet)
+            await trio.sleep(silence)
             spec = job("a", tasks=20, work=3.0)
             fleet.nursery.start_soon(fleet.submit, "entry-1", spec)
             await trio.sleep(0.02)
@@ -199,20 +196,20 @@
 
         run_fleet(main, agents=3)
 
-    @pytest.mark.parametrize("again", [True, False])
-    def test_are_not_given_on_and_on(self, again):
-        """Tasks came back again and again from an agent whose upstream was another.
+    @pytest.mark.parametrize("same_id", [True, False])
+    def test_are_not_repeated_until_the_next_report(self, same_id):
+        """Guards against an agent that offers the room of a replaced upstream.
 
-        An agent without work renews nothing, and only a renewal that another life
-        answered told it that its upstream was over. It went on to offer all its room
-        until the next report: 715 "run.start" with the verdict "other boot" for a job
-        of four tasks.
+        An idle agent sends no holds, so only the verdict "other boot" of a start order
+        shows that another life answers. Unless that verdict ends the life, tasks are
+        placed and returned until the next report: 715 "run.start" lines for a job of
+        four tasks.
         """
 
         async def main(fleet):
             await trio.sleep(3 * REPORT_SECONDS)
             fleet.upstreams["agent-1"].crash()
-            if again:
+            if same_id:
                 fleet.restart_upstream("agent-1")
             else:
                 fleet.replace_at_address("agent-1")
--- a/bergamotcourse/tests/jobs/test_upstream_rows.py
+++ b/bergamotcourse/tests/jobs/test_upstream_rows.py
@@ -1,4 +1,4 @@
-"""The last report of each upstream, kept in the store."""
+"""Storing of the last report of each upstream."""
 
 import random
 from dataclasses import replace
@@ -15,7 +15,7 @@
 
 
 class Store:
-    """Keeps what it is given."""
+    """Records the reports that are stored."""
 
     def __init__(self):
         self.kept = []
@@ -36,23 +36,23 @@
     return trio.run(main)
 
 
-class TestKeep:
-    def test_one_report_of_a_life_is_kept(self):
+class TestStoredReports:
+    def test_only_the_first_report_of_a_life_is_stored(self):
         assert kept_of(REPORT, replace(REPORT, sequence=9)) == [REPORT]
 
-    def test_each_life_of_an_id_is_kept(self):
-        """An agent that started anew found no upstream until the next report.
+    def test_each_life_under_one_id_is_stored(self):
+        """Guards against a restarted agent finding no upstream until the next report.
 
-        The store had the life before: a report was kept only where its id was new.
+        If a report were stored only for a new id, the store would keep the former life.
         """
         again = replace(REPORT, incarnation=Incarnation(2))
         assert kept_of(REPORT, again) == [REPORT, again]
 
-    def test_the_word_that_it_leaves_is_kept(self):
-        """An agent that started anew gave work to an upstream that was leaving.
+    def test_the_start_of_draining_is_stored(self):
+        """Guards against a restarted agent starting runs on a draining upstream.
 
-        It took the upstream up by the report kept at the beginning of its life, which
-        says that it takes work, and knew better only with its next report.
+        It adopts the upstream by the stored report. If that were the first one of the
+        life, the agent would not know of the draining until the next report.
         """
         leaving = replace(REPORT, draining=True)
         assert kept_of(REPORT, leaving, leaving) == [REPORT, leaving]
--- a/bergamotcourse/tests/platform/test_reports.py
+++ b/bergamotcourse/tests/platform/test_reports.py
@@ -32,13 +32,13 @@
     def capacity(self):
         return self.life.report.capacity if self.life else NOTHING
 
-    def take_report(self, report):
+    def handle_upstream_report(self, report):
         self.reports.append(report)
         if self.life is None or self.life.report.life != report.life:
             self.life = UpstreamLife(report, None, 0.0, 0.0)
         self.life.report = report
 
-    def take_departure(self, life):
+    def handle_upstream_departure(self, life):
         self.left.append(life)
 
 
--- a/bergamotcourse/virtual/job_fleet.py
+++ b/bergamotcourse/virtual/job_fleet.py
@@ -198,7 +198,7 @@
             await self.pause.passed()
             if not upstream.down and self.name not in self.fleet.cut_upstreams:
                 before = self.executor.refusal(), self.executor.capacity()
-                self.executor.take_report(upstream.report())
+                self.executor.handle_upstream_report(upstream.report())
                 if before != (self.executor.refusal(), self.executor.capacity()):
                     self.contacts.tell_all()
             await trio.sleep(self.fleet.report_seconds)
