--- a/bergamotcourse/coordination/jobs/agent_link.py
+++ b/bergamotcourse/coordination/jobs/agent_link.py
@@ -1,10 +1,10 @@
-"""What an entry knows of one agent, and whether it may place tasks there.
+"""An entry's state for one agent, and whether tasks may be placed there.
 
-Of hundreds of agents an entry uses some dozens at a time. With those it is in contact:
-they are heard several times a second, and what is placed there starts at once. The
-others are heard rarely. A run that is placed at one of these starts only once a message
-of the agent has come after it and was echoed, so until then it can be taken back with
-certainty.
+An entry uses some dozens of hundreds of agents at a time. It is in contact with these:
+they send several messages a second, and a run placed there starts at once. The other
+agents send rarely. A run placed at one of them needs a handshake: it starts only after
+the agent has sent another message and received its echo. Until then the entry can
+withdraw the run with the certainty that it has not started.
 """
 
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
 from msgspec import structs
 
-from bergamotcourse.coordination.jobs.item_stream import Incoming, Outgoing
+from bergamotcourse.coordination.jobs.item_stream import IncomingStream, OutgoingStream
 from bergamotcourse.coordination.jobs.lease_terms import (
     AGENT_SILENCE_SECONDS,
     ALL_RUNS_ENDED_SECONDS,
@@ -30,30 +30,41 @@
 from bergamotcourse.protocol.upstream_orders import RunKey
 from bergamotcourse.state.resources import NOTHING, Resources
 
-MISSED_MESSAGES = 2
-"""Rare messages of an agent that may be lost before nothing is placed there."""
+MAX_MISSED_HEARTBEATS = 2
+"""Consecutive messages of an agent out of contact that may be lost before the entry
+stops placing runs there."""
 
 
 @dataclass
 class AgentLink:
-    """An agent.
+    """An agent, as seen by this entry.
 
     Attributes:
-        boot: Of the agent's process.
-        session: The last that the agent has begun with this entry.
-        heard_at: When it last sent something.
-        next: Seconds after which it sends again, as it said then.
-        echo_ms: The agent's clock in its last message.
-        largest: The most capacity that its upstream has told; what it has now may have
-            shrunk, or be held back for a trial, and come back.
-        over: The runs of this session were given up here; it is not used any more.
-        opened_at: When the first run was placed without contact; ``None`` if there was
-            contact, or an answer since.
-        unanswered: It left such a run unanswered, and has not been heard since.
-        placed: The runs that have no outcome yet, with what the dispatcher keeps.
-        pending: Needs of the runs in ``placed``.
-        former: Runs that were placed at an earlier process of the agent.
-        last_request: The job whose payload the agent was told last in this session.
+        boot: Boot number of the agent's process.
+        session: Latest session that the agent has begun with this entry.
+        last_received_at: When the last message of the agent arrived.
+        next_message_seconds: Seconds after which the agent announced, in its last
+            message, to send the next one.
+        echo_ms: The agent's clock in its last message; echoed to the agent.
+        sent_at: When the last message was sent to the agent.
+        echoed: Whether the agent's last message has been echoed.
+        session_abandoned: Whether the entry has abandoned the runs of this session,
+            which is then no longer used.
+        handshake_started_at: When the first run was placed without contact; ``None`` if
+            there was contact, or the agent has answered since.
+        handshake_unanswered: Whether the agent left such a run unanswered and has sent
+            nothing since.
+        room: Latest load that the agent has reported.
+        largest_capacity: Largest capacity that its upstream has reported. The current
+            one may be smaller for a time, or be withheld during a trial.
+        outgoing: Items to the agent.
+        incoming: Items from the agent.
+        placed: Owners of the runs without an outcome, by key. An owner is the
+            dispatcher's own record of the run.
+        needs: Needs of each run in ``placed``.
+        placed_needs: Sum of ``needs``.
+        former_boot_runs: Runs that were placed at an earlier process of the agent.
+        last_request: Job whose payload was last sent to the agent in this session.
     """
 
     address: LinkAddress
@@ -61,167 +72,193 @@
     zone: str
     boot: int = 0
     session: int = 0
-    heard_at: float = 0.0
-    next: float = 0.0
+    last_received_at: float = 0.0
+    next_message_seconds: float = 0.0
     echo_ms: int = 0
     sent_at: float = -1e9
     echoed: bool = True
-    over: bool = False
-    opened_at: float | None = None
-    unanswered: bool = False
+    session_abandoned: bool = False
+    handshake_started_at: float | None = None
+    handshake_unanswered: bool = False
     room: AgentRoom | None = None
-    largest: Resources = NOTHING
-    out: Outgoing[PlaceTask | WithdrawTask] = field(default_factory=Outgoing)
-    incoming: Incoming[TaskEnded] = field(default_factory=Incoming)
+    largest_capacity: Resources = NOTHING
+    outgoing: OutgoingStream[PlaceTask | WithdrawTask] = field(
+        default_factory=OutgoingStream
+    )
+    incoming: IncomingStream[TaskEnded] = field(default_factory=IncomingStream)
     placed: dict[RunKey, Any] = field(default_factory=dict)
     needs: dict[RunKey, Resources] = field(default_factory=dict)
-    pending: Resources = NOTHING
-    former: set[RunKey] = field(default_factory=set)
+    placed_needs: Resources = NOTHING
+    former_boot_runs: set[RunKey] = field(default_factory=set)
     last_request: str = ""
 
-    # What may be done with it.
+    # Whether runs may be placed.
 
     def in_contact(self, now: float) -> bool:
-        """Return whether runs that are placed there start at once."""
-        silent = now - self.heard_at
+        """Return whether a run placed at the agent starts at once."""
+        silent = now - self.last_received_at
         return (
-            silent <= AGENT_SILENCE_SECONDS and not self.over and self.room is not None
+            silent <= AGENT_SILENCE_SECONDS
+            and not self.session_abandoned
+            and self.room is not None
         )
 
-    def may_start_at_once(self, now: float) -> bool:
-        """Return whether an echo from before may still give contact."""
-        return now - self.heard_at < CONTACT_LOST_SECONDS
+    def agent_may_hold_lease(self, now: float) -> bool:
+        """Return whether the agent may still hold a lease from an earlier echo.
 
-    def is_opening(self, now: float) -> bool:
-        """Return whether it may answer a placement without contact yet."""
+        A run placed while it does may start at once.
+        """
+        return now - self.last_received_at < CONTACT_LOST_SECONDS
+
+    def is_handshake_pending(self, now: float) -> bool:
+        """Return whether an answer to a placement without contact is still awaited."""
         return (
-            self.opened_at is not None
-            and now - self.opened_at < FIRST_PLACEMENT_TIMEOUT_SECONDS
+            self.handshake_started_at is not None
+            and now - self.handshake_started_at < FIRST_PLACEMENT_TIMEOUT_SECONDS
         )
 
     def is_usable(self, now: float) -> bool:
-        """Return whether it is in contact, or about to be."""
-        return self.in_contact(now) or self.is_opening(now)
-
-    def may_ask(self, now: float) -> bool:
-        """Return whether an agent without contact is likely to answer."""
-        if self.over or self.unanswered or self.placed or self.room is None:
+        """Return whether the agent is in contact, or a handshake with it is pending."""
+        return self.in_contact(now) or self.is_handshake_pending(now)
+
+    def may_probe(self, now: float) -> bool:
+        """Return whether the agent is out of contact but likely to answer a message."""
+        if (
+            self.session_abandoned
+            or self.handshake_unanswered
+            or self.placed
+            or self.room is None
+        ):
             return False
-        silent = now - self.heard_at
+        silent = now - self.last_received_at
         return (
             AGENT_SILENCE_SECONDS
             < silent
-            <= MISSED_MESSAGES * self.next + CONTACT_LOST_SECONDS
+            <= MAX_MISSED_HEARTBEATS * self.next_message_seconds + CONTACT_LOST_SECONDS
         )
 
-    def may_open(self, now: float) -> bool:
+    def may_start_handshake(self, now: float) -> bool:
         """Return whether a run may be placed there without contact.
 
-        Not before ``CONTACT_LOST_SECONDS``: an echo sent before may give contact until then.
+        This is not so until ``CONTACT_LOST_SECONDS`` after the agent's last message: an
+        earlier echo may give it a lease until then, and the run could start without
+        a handshake.
         """
-        return self.may_ask(now) and not self.may_start_at_once(now)
+        return self.may_probe(now) and not self.agent_may_hold_lease(now)
 
     def is_lost(self, now: float) -> bool:
-        """Return whether all runs there are over, whatever became of the agent."""
-        if self.over or self.opened_at is not None or not self.placed:
+        """Return whether all runs there have ended, in whatever state the agent is."""
+        if (
+            self.session_abandoned
+            or self.handshake_started_at is not None
+            or not self.placed
+        ):
             return False
-        return now - self.heard_at > ALL_RUNS_ENDED_SECONDS
+        return now - self.last_received_at > ALL_RUNS_ENDED_SECONDS
 
-    def note_opening(self, now: float) -> None:
-        """Note that what is placed now waits for an answer, if it surely does.
+    def note_handshake_start(self, now: float) -> None:
+        """Mark a handshake as started if a run placed now is certain to need one.
 
-        An entry that is slow may find an agent silent that was in contact when it was
-        chosen. What is placed there, or was before, may be started yet: taken back as
-        one that can't be, a run would run twice.
+        On a slow entry an agent may have fallen silent between its choice and the
+        placement. A run placed there then, or earlier, may still be started by the
+        agent; were it withdrawn as one that can't have started, the task would run
+        twice.
         """
-        waits = not self.placed and not self.may_start_at_once(now)
-        if self.opened_at is None and waits:
-            self.opened_at = now
+        waits = not self.placed and not self.agent_may_hold_lease(now)
+        if self.handshake_started_at is None and waits:
+            self.handshake_started_at = now
 
     # Load.
 
     def load(self) -> Resources:
-        """Return the needs of all runs there, with those just placed."""
-        return self.room.committed - self.room.yours + self.pending
+        """Return the needs of all runs at the agent, including those just placed."""
+        return self.room.committed - self.room.yours + self.placed_needs
 
     def free(self) -> Resources:
-        """Return the room that is left there."""
+        """Return the capacity that is left at the agent."""
         return self.room.capacity - self.load()
 
     def load_cpu(self) -> int:
-        """Return the processor part of ``load``, without making an amount of it.
+        """Return the CPU component of ``load()`` without allocating a ``Resources``.
 
-        It is asked of each agent for each task that is placed.
+        It is called for each agent and each task that is placed.
         """
-        return self.room.committed.cpu - self.room.yours.cpu + self.pending.cpu
+        return self.room.committed.cpu - self.room.yours.cpu + self.placed_needs.cpu
 
     # Runs and messages.
 
-    def add(self, key: RunKey, needs: Resources, owner: Any) -> None:
-        """Note a run that is placed there."""
+    def add_run(self, key: RunKey, needs: Resources, owner: Any) -> None:
+        """Record a run that is placed at the agent."""
         self.placed[key] = owner
         self.needs[key] = needs
-        self.pending = self.pending + needs
+        self.placed_needs = self.placed_needs + needs
+
+    def enqueue_placement(self, order: PlaceTask) -> None:
+        """Append a placement to the stream.
 
-    def send(self, order: PlaceTask) -> None:
-        """Append a placement to the stream; of a job's several the first has all."""
+        Of consecutive placements of one job only the first carries the payload.
+        """
         if order.request == self.last_request:
             order = structs.replace(order, payload=None)
         self.last_request = order.request
-        self.out.add(order)
+        self.outgoing.add(order)
 
-    def drop(self, key: RunKey) -> Any:
-        """Forget a run and return its owner, or ``None``."""
+    def remove_run(self, key: RunKey) -> Any:
+        """Remove a run and return its owner, or ``None`` if the run is unknown."""
         owner = self.placed.pop(key, None)
-        self.former.discard(key)
+        self.former_boot_runs.discard(key)
         if owner is not None:
-            self.pending = self.pending - self.needs.pop(key)
+            self.placed_needs = self.placed_needs - self.needs.pop(key)
         return owner
 
-    def hear(self, turn: AgentTurn, now: float) -> list[TaskEnded]:
-        """Take a message of the session, and return the outcomes that are new."""
-        self.heard_at = now
-        self.opened_at = None
-        self.unanswered = False
+    def receive_turn(self, turn: AgentTurn, now: float) -> list[TaskEnded]:
+        """Handle a message of the current session and return the outcomes new to it."""
+        self.last_received_at = now
+        self.handshake_started_at = None
+        self.handshake_unanswered = False
         self.echoed = False
         if turn.sent_ms >= self.echo_ms:
-            # Datagrams overtake each other; an older one tells an older load.
+            # Datagrams may be reordered; an older one reports an older load.
             self.echo_ms = turn.sent_ms
-            self.next = turn.next_ms / 1000
-            self._note_room(turn.room)
-        self.out.confirm(turn.seen, now)
+            self.next_message_seconds = turn.next_ms / 1000
+            self._update_room(turn.room)
+        self.outgoing.acknowledge(turn.seen, now)
         return self.incoming.accept(turn.first, turn.items)
 
-    def _note_room(self, room: AgentRoom) -> None:
+    def _update_room(self, room: AgentRoom) -> None:
         if self.room is not None and room.service != self.room.service:
-            self.largest = NOTHING
-        if not room.capacity.fits(self.largest):
-            self.largest = self.largest | room.capacity
+            self.largest_capacity = NOTHING
+        if not room.capacity.fits(self.largest_capacity):
+            self.largest_capacity = self.largest_capacity | room.capacity
         self.room = room
 
-    def take_back(self) -> list[RunKey]:
-        """Withdraw the runs that were left unanswered, and return them.
+    def withdraw_unanswered_runs(self) -> list[RunKey]:
+        """Withdraw the runs that were left unanswered and return their keys.
 
-        No message was echoed since they were placed, so none of them has started. Nor
-        will it: the agent releases a held run only once it has all items.
+        No message was echoed since they were placed, so none of them has started. None
+        will start later either: the agent releases a held run only after it has
+        received all items, the withdrawal among them.
         """
-        self.opened_at = None
-        self.unanswered = True
+        self.handshake_started_at = None
+        self.handshake_unanswered = True
         keys = list(self.placed)
         for key in keys:
-            self.out.add(WithdrawTask(key))
+            self.outgoing.add(WithdrawTask(key))
         return keys
 
     def begin_session(self, boot: int, session: int) -> None:
-        """Begin a session, in which all that has no outcome is asked for."""
+        """Begin a session and withdraw all runs without an outcome.
+
+        The agent reports the outcome of each withdrawn run.
+        """
         if boot != self.boot:
-            self.former = set(self.placed)
+            self.former_boot_runs = set(self.placed)
         self.boot = boot
         self.session = session
         self.echo_ms = 0
-        self.over = False
-        self.out = Outgoing()
+        self.session_abandoned = False
+        self.outgoing = OutgoingStream()
         self.last_request = ""
-        self.incoming = Incoming()
+        self.incoming = IncomingStream()
         for key in self.placed:
-            self.out.add(WithdrawTask(key))
+            self.outgoing.add(WithdrawTask(key))
--- a/bergamotcourse/coordination/jobs/agent_links.py
+++ b/bergamotcourse/coordination/jobs/agent_links.py
@@ -1,4 +1,4 @@
-"""The entry's links to agents: who can be placed at, and what is placed where."""
+"""An entry's links to all agents: candidates for placement and the runs placed."""
 
 import itertools
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from bergamotcourse.coordination.jobs.agent_order import AgentOrder
 from bergamotcourse.coordination.jobs.evacuated_zones import EvacuatedZones
 from bergamotcourse.coordination.jobs.lease_terms import MAX_ECHO_DELAY_SECONDS
-from bergamotcourse.coordination.jobs.send_soon import SendSoon
+from bergamotcourse.coordination.jobs.send_coalescer import SendCoalescer
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.mailer import Mailer
@@ -30,56 +30,62 @@
 from bergamotcourse.state.resources import Resources
 
 TICK_SECONDS = 0.03
-"""Between two looks at what is due; half of ``MAX_ECHO_DELAY_SECONDS``."""
+"""Period of the check for messages that are due: half of ``MAX_ECHO_DELAY_SECONDS``."""
 
-FORGET_SECONDS = 30.0
-"""An agent that was silent for so long is forgotten."""
+AGENT_EVICTION_SECONDS = 30.0
+"""Silence after which an agent is evicted."""
 
-ASKED_AT_ONCE = 2
-"""Agents without contact that an entry with waiting tasks asks for room in each look:
-70 a second, so that it has heard of all rooms near it before a short job is late."""
+PROBES_PER_TICK = 2
+"""Agents out of contact that an entry with waiting tasks probes for capacity in each
+tick: 70 a second, so that it knows the load of all nearby agents before a short job is
+late."""
 
-MOST_CONTACTS = 32
-"""Agents in contact up to which an entry with waiting tasks asks further ones. A slot
-of these gets free each 3 ms where tasks take 0.6 s and an agent runs six; were all
-entries to ask all agents in a burst, their messages would take the time that the work
-needs."""
+PROBING_CONTACT_LIMIT = 32
+"""Number of agents in contact from which on an entry with waiting tasks stops probing
+others. With so many, a slot becomes free every 3 ms where tasks take 0.6 s and an agent
+runs six. If all entries probed all agents during a burst, the messages would take the
+processor time that the tasks need."""
 
 
 @dataclass
-class Choices:
-    """The agents at which a run may be placed now, in the order of use.
+class PlacementCandidates:
+    """The agents at which a run may be placed now, in order of preference.
 
     Attributes:
-        near: Those in contact, of this entry's share.
-        near_quiet: Those without contact, of this entry's share.
-        further: All others in contact.
-        further_quiet: All others without contact.
+        preferred_in_contact: Agents of this entry's share that are in contact.
+        preferred_without_contact: Agents of this entry's share that are not.
+        other_in_contact: All other agents in contact.
+        other_without_contact: All other agents without contact.
     """
 
-    near: list[AgentLink] = field(default_factory=list)
-    near_quiet: list[AgentLink] = field(default_factory=list)
-    further: list[AgentLink] = field(default_factory=list)
-    further_quiet: list[AgentLink] = field(default_factory=list)
+    preferred_in_contact: list[AgentLink] = field(default_factory=list)
+    preferred_without_contact: list[AgentLink] = field(default_factory=list)
+    other_in_contact: list[AgentLink] = field(default_factory=list)
+    other_without_contact: list[AgentLink] = field(default_factory=list)
 
-    def in_turn(self) -> tuple[tuple[list[AgentLink], list[AgentLink]], ...]:
-        """Return those with and without contact, of the share and of the rest."""
-        return (self.near, self.near_quiet), (self.further, self.further_quiet)
+    def by_preference(self) -> tuple[tuple[list[AgentLink], list[AgentLink]], ...]:
+        """Return pairs of agents with and without contact, this entry's share first."""
+        return (
+            (self.preferred_in_contact, self.preferred_without_contact),
+            (self.other_in_contact, self.other_without_contact),
+        )
 
 
 class AgentLinks:
-    """All agents that an entry has heard of.
+    """All agents that have sent a message to this entry.
 
     Attributes:
         entry: Name of the entry.
-        boot: Of this process; rises with each process of the entry.
-        order: Tells which agents are used first.
-        zones: Tells in which zones nothing is placed.
+        boot: Boot number of this process; rises with each process of the entry.
+        order: Order in which agents are preferred.
+        zones: Evacuated zones, in which nothing is placed.
         entries: Returns the addresses of the other entries.
-        on_end: Called with the owner of a run, its link, and its outcome.
-        on_settled: Called after the outcomes of one message, or of one lost agent.
-        on_room: Called when an agent has told its load.
-        is_waiting: Whether the entry has tasks that find no room.
+        links: The agents by address.
+        on_run_ended: Called with the owner of a run, its link and its outcome.
+        on_outcomes_reported: Called after all outcomes of one message or of one lost
+            agent were passed to ``on_run_ended``.
+        on_room_reported: Called when an agent has reported its load and no outcomes.
+        is_waiting: Returns whether the entry has tasks that find no free capacity.
     """
 
     def __init__(
@@ -101,75 +107,91 @@
         self.timers = timers
         self.log = log
         self.links: dict[LinkAddress, AgentLink] = {}
-        self.on_end: Callable[[Any, AgentLink, TaskEnded], None] = _ignore
-        self.on_room: Callable[[AgentLink], None] = lambda _link: None
-        self.on_settled: Callable[[], None] = lambda: None
+        self.on_run_ended: Callable[[Any, AgentLink, TaskEnded], None] = _ignore
+        self.on_room_reported: Callable[[AgentLink], None] = lambda _link: None
+        self.on_outcomes_reported: Callable[[], None] = lambda: None
         self.is_waiting: Callable[[], bool] = lambda: False
-        self.soon = SendSoon(self._send_to)
+        self.send_coalescer = SendCoalescer(self._send_to)
 
     async def run(self) -> None:
-        """Send what is due until cancelled."""
+        """Send due messages until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.soon.run)
+            nursery.start_soon(self.send_coalescer.run)
             while True:
                 self._tick()
                 await trio.sleep(TICK_SECONDS)
 
-    def choices(self) -> Choices:
+    def placement_candidates(self) -> PlacementCandidates:
         """Return the agents at which a run may be placed now."""
         now = self.timers.now()
         links = self.order.links
-        self.order.note(sum(link.pending.cpu for link in links), now)
-        share = self.order.share()
-        choices = Choices()
+        self.order.record_placed_cpu(sum(link.placed_needs.cpu for link in links), now)
+        share = self.order.share_size()
+        candidates = PlacementCandidates()
         for number, link in enumerate(links):
             if self.zones.is_evacuated(link.zone):
                 continue
             if link.is_usable(now):
-                (choices.near if number < share else choices.further).append(link)
-            elif link.may_open(now):
-                quiet = choices.near_quiet if number < share else choices.further_quiet
-                quiet.append(link)
-        return choices
-
-    def available(self) -> list[AgentLink]:
-        """Return all agents at which a run may be placed."""
-        return [link for link in self.known() if not self.zones.is_evacuated(link.zone)]
-
-    def known(self) -> list[AgentLink]:
-        """Return all agents that are in contact or can be, evacuated ones too."""
+                (
+                    candidates.preferred_in_contact
+                    if number < share
+                    else candidates.other_in_contact
+                ).append(link)
+            elif link.may_start_handshake(now):
+                without_contact = (
+                    candidates.preferred_without_contact
+                    if number < share
+                    else candidates.other_without_contact
+                )
+                without_contact.append(link)
+        return candidates
+
+    def available_agents(self) -> list[AgentLink]:
+        """Return all reachable agents outside of evacuated zones."""
+        return [
+            link
+            for link in self.reachable_agents()
+            if not self.zones.is_evacuated(link.zone)
+        ]
+
+    def reachable_agents(self) -> list[AgentLink]:
+        """Return all agents in contact or able to be, also those in evacuated zones."""
         now = self.timers.now()
         links = self.links.values()
-        return [link for link in links if link.is_usable(now) or link.may_open(now)]
+        return [
+            link
+            for link in links
+            if link.is_usable(now) or link.may_start_handshake(now)
+        ]
 
     def place(
         self, link: AgentLink, order: PlaceTask, needs: Resources, owner: Any
     ) -> None:
         """Place a run at an agent."""
         now = self.timers.now()
-        link.note_opening(now)
-        link.add(order.key, needs, owner)
-        link.send(order)
-        self._mark(link)
+        link.note_handshake_start(now)
+        link.add_run(order.key, needs, owner)
+        link.enqueue_placement(order)
+        self._request_send(link)
 
     def withdraw(self, link: AgentLink, key: RunKey) -> None:
-        """End a run, or bar it."""
-        link.out.add(WithdrawTask(key))
-        self._mark(link)
+        """Stop a run at an agent, or keep it from starting."""
+        link.outgoing.add(WithdrawTask(key))
+        self._request_send(link)
 
-    def tell_all(self) -> None:
-        """Send a message to each agent in contact, with what is news to it.
+    def notify_all_agents(self) -> None:
+        """Send a message to each agent in contact.
 
-        For tasks that wait it asks for room; of evacuations the others hear with the
-        answer to their next message.
+        It reports whether tasks wait for capacity, and the evacuated zones. Agents out
+        of contact receive these with the answer to their next message.
         """
         now = self.timers.now()
         for link in self.links.values():
             if link.in_contact(now):
-                self._mark(link)
+                self._request_send(link)
 
-    def take_turn(self, sender: LinkAddress, turn: AgentTurn) -> None:
-        """Take a message of an agent."""
+    def handle_agent_turn(self, sender: LinkAddress, turn: AgentTurn) -> None:
+        """Handle a message of an agent."""
         link = self.links.get(sender)
         if link is None:
             link = AgentLink(sender, turn.agent, turn.zone)
@@ -179,30 +201,30 @@
             return
         if (turn.boot, turn.session) > (link.boot, link.session):
             self._begin_session(link, turn)
-        if link.over:
-            # The agent may keep the session on, as it has no runs to give up.
+        if link.session_abandoned:
+            # An agent without runs of this entry doesn't end the session by itself.
             self.mailer.post(sender, EndSession(link.boot, link.session))
             return
-        was_opening = link.opened_at is not None
-        fresh = link.hear(turn, self.timers.now())
-        if was_opening:
-            # What was placed there waits for the echo.
-            self._mark(link)
-        for ended in fresh:
-            self._end(link, ended)
-        if fresh:
-            self.on_settled()
+        was_handshake = link.handshake_started_at is not None
+        new_outcomes = link.receive_turn(turn, self.timers.now())
+        if was_handshake:
+            # The runs placed at the agent wait for the echo of this message.
+            self._request_send(link)
+        for ended in new_outcomes:
+            self._handle_outcome(link, ended)
+        if new_outcomes:
+            self.on_outcomes_reported()
         else:
-            self.on_room(link)
+            self.on_room_reported(link)
 
-    def farewell(self, sender: LinkAddress) -> None:
-        """Take the word of an agent that it ends, with nothing left running."""
+    def handle_farewell(self, sender: LinkAddress) -> None:
+        """Handle the farewell of an agent, which has stopped with no run left."""
         link = self.links.pop(sender, None)
         if link is None:
             return
         self.order.remove(link)
         self.log.write("agent.left", agent=link.name)
-        self._give_up(link, "the agent has stopped")
+        self._report_runs_lost(link, "the agent has stopped")
 
     def _begin_session(self, link: AgentLink, turn: AgentTurn) -> None:
         self.log.write(
@@ -211,93 +233,99 @@
             boot=turn.boot,
             session=turn.session,
             unsettled=len(link.placed),
-            quiet_ms=round((self.timers.now() - link.heard_at) * 1000),
+            quiet_ms=round((self.timers.now() - link.last_received_at) * 1000),
         )
-        if link.opened_at is not None:
-            self._take_back(link, "its agent has begun a new session")
+        if link.handshake_started_at is not None:
+            self._withdraw_unanswered(link, "its agent has begun a new session")
         link.begin_session(turn.boot, turn.session)
-        self._mark(link)
+        self._request_send(link)
 
-    def _end(self, link: AgentLink, ended: TaskEnded) -> None:
-        if ended.key in link.former and ended.outcome in NEVER_RAN:
-            # The agent knows only what its present process has not started.
+    def _handle_outcome(self, link: AgentLink, ended: TaskEnded) -> None:
+        if ended.key in link.former_boot_runs and ended.outcome in NEVER_RAN:
+            # The agent can't know which runs its earlier process has started.
             why = "its agent has restarted"
             ended = TaskEnded(ended.key, Outcome.LOST, 0.0, why)
-        owner = link.drop(ended.key)
+        owner = link.remove_run(ended.key)
         if owner is not None:
-            self.on_end(owner, link, ended)
+            self.on_run_ended(owner, link, ended)
 
-    def _give_up(self, link: AgentLink, why: str) -> None:
-        """Give up the runs at an agent, all of which are over by now."""
+    def _report_runs_lost(self, link: AgentLink, why: str) -> None:
+        """Report the runs at an agent as lost; all of them have ended by now."""
         for key in list(link.placed):
-            self._end(link, TaskEnded(key, Outcome.LOST, 0.0, why))
-        self.on_settled()
+            self._handle_outcome(link, TaskEnded(key, Outcome.LOST, 0.0, why))
+        self.on_outcomes_reported()
 
-    def _take_back(self, link: AgentLink, why: str) -> None:
-        """Take back what was placed without contact; none of it has started."""
+    def _withdraw_unanswered(self, link: AgentLink, why: str) -> None:
+        """Withdraw the runs placed without contact, none of which has started."""
         self.log.write("agent.unanswered", agent=link.name, runs=len(link.placed))
-        for key in link.take_back():
-            self._end(link, TaskEnded(key, Outcome.RETURNED, 0.0, why))
-        self.on_settled()
+        for key in link.withdraw_unanswered_runs():
+            self._handle_outcome(link, TaskEnded(key, Outcome.RETURNED, 0.0, why))
+        self.on_outcomes_reported()
 
     def _tick(self) -> None:
         now = self.timers.now()
-        self.order.take_entries(self.entries(), now)
+        self.order.update_entries(self.entries(), now)
         for link in list(self.links.values()):
-            if link.opened_at is not None and not link.is_opening(now):
-                self._take_back(link, "its agent does not answer")
+            if link.handshake_started_at is not None and not link.is_handshake_pending(
+                now
+            ):
+                self._withdraw_unanswered(link, "its agent does not answer")
             if link.is_lost(now):
-                self._lose(link, now - link.heard_at)
-            if now - link.heard_at > FORGET_SECONDS:
+                self._handle_lost_agent(link, now - link.last_received_at)
+            if now - link.last_received_at > AGENT_EVICTION_SECONDS:
                 del self.links[link.address]
                 self.order.remove(link)
-            elif self._is_due(link, now):
-                self._mark(link)
+            elif self._is_message_due(link, now):
+                self._request_send(link)
         if self.is_waiting():
-            self._ask_further()
+            self._probe_for_room()
 
-    def _lose(self, link: AgentLink, silent: float) -> None:
+    def _handle_lost_agent(self, link: AgentLink, silent: float) -> None:
         self.log.write(
             "agent.lost", agent=link.name, runs=len(link.placed), silent=silent
         )
-        link.over = True
-        self._give_up(link, "the agent is silent")
+        link.session_abandoned = True
+        self._report_runs_lost(link, "the agent is silent")
 
-    def _ask_further(self) -> None:
-        """Ask some agents without contact for room."""
+    def _probe_for_room(self) -> None:
+        """Probe some agents out of contact for free capacity."""
         now = self.timers.now()
         links = self.order.links
-        if sum(link.in_contact(now) for link in links) >= MOST_CONTACTS:
+        if sum(link.in_contact(now) for link in links) >= PROBING_CONTACT_LIMIT:
             return
-        others = (link for link in links if link.may_ask(now))
-        for link in itertools.islice(others, ASKED_AT_ONCE):
-            self._mark(link)
+        candidates = (link for link in links if link.may_probe(now))
+        for link in itertools.islice(candidates, PROBES_PER_TICK):
+            self._request_send(link)
 
-    def _is_due(self, link: AgentLink, now: float) -> bool:
-        if link.over or link.unanswered:
+    def _is_message_due(self, link: AgentLink, now: float) -> bool:
+        if link.session_abandoned or link.handshake_unanswered:
             return False
-        if link.out.is_late(now):
+        if link.outgoing.needs_retransmission(now):
             return True
         return (
             not link.echoed
             and now - link.sent_at >= MAX_ECHO_DELAY_SECONDS - TICK_SECONDS
         )
 
-    def _mark(self, link: AgentLink) -> None:
-        self.soon.mark(link.address)
+    def _request_send(self, link: AgentLink) -> None:
+        self.send_coalescer.request_send(link.address)
 
     def _send_to(self, address: LinkAddress) -> None:
         link = self.links.get(address)
-        if link is not None and not link.over and not link.unanswered:
+        if (
+            link is not None
+            and not link.session_abandoned
+            and not link.handshake_unanswered
+        ):
             self._send(link)
 
     def _send(self, link: AgentLink) -> None:
         now = self.timers.now()
-        if link.out.is_late(now):
+        if link.outgoing.needs_retransmission(now):
             self.log.write("items.sent_again", peer=link.name)
         link.sent_at = now
         link.echoed = True
-        first, items = link.out.take(now)
+        first, items = link.outgoing.next_batch(now)
         turn = EntryTurn(
             entry=self.entry,
             entry_boot=self.boot,
@@ -307,7 +335,7 @@
             seen=link.incoming.seen,
             first=first,
             items=items,
-            last=link.out.last,
+            last=link.outgoing.last,
             waiting=self.is_waiting(),
             evacuations=self.zones.latest,
         )
@@ -315,4 +343,4 @@
 
 
 def _ignore(_owner: Any, _link: AgentLink, _ended: TaskEnded) -> None:
-    """Drop an outcome."""
+    """Discard an outcome."""
--- a/bergamotcourse/coordination/jobs/agent_order.py
+++ b/bergamotcourse/coordination/jobs/agent_order.py
@@ -1,10 +1,11 @@
-"""Which agents an entry takes first, and how many it keeps in contact.
-
-Load it answers: dozens of entries and hundreds of agents, all in use. Were each entry
-to spread its tasks over all agents, each pair of them would stay in contact, and two
-entries would count on the same room wherever they place. So the agents of an entry's
-own zone come first, and among these the ones that rank the entry highest: the shares of
-two entries have few agents in common until one of them needs more than its share.
+"""Order in which an entry prefers agents, and the size of its share of them.
+
+It serves dozens of entries and hundreds of agents that are all in use. If each entry
+spread its tasks over all agents, each pair of them would stay in contact, and any two
+entries would count on the same free capacity. Agents of the entry's own zone therefore
+come first, and among these the ones that rank the entry highest (rendezvous hashing):
+the shares of two entries have few agents in common until one of them needs more than
+its share.
 """
 
 from bisect import insort
@@ -14,86 +15,101 @@
 from bergamotcourse.coordination.jobs.agent_link import AgentLink
 from bergamotcourse.ids import LinkAddress, ZoneName
 
-LEAST_SHARE = 12
-"""Agents that an entry uses in any case: with fewer, the loss of a rack or a burst
-would leave it without room until others have answered."""
+MIN_SHARE_AGENTS = 12
+"""Least number of agents in a share. With fewer, a burst or the loss of a rack would
+leave the entry without free capacity until further agents have answered."""
 
-USED_SHARE = 0.25
-"""Of the processor of its agents that an entry's own tasks take. Four entries share an
-agent then, so that one that needs more for a moment finds room that others leave."""
+OWN_CPU_FRACTION = 0.25
+"""Part of the CPU capacity of its share that an entry plans for its own tasks. Four
+entries then share an agent, so that one that briefly needs more finds capacity that the
+others leave."""
 
-SORT_SECONDS = 1.0
-"""Between two sorts after entries have come or gone: after a loss of all, 35 become
-known one by one, and a sort of 160 agents takes 2 ms."""
+MIN_SORT_INTERVAL_SECONDS = 1.0
+"""Least time between two sorts when entries come and go. After a loss of all entries,
+35 become known one by one, and sorting 160 agents takes 2 ms."""
 
-PEAK_SECONDS = 5.0
-"""After which the most that an entry has placed at a time counts half: bursts last some
-seconds, and agents that are left and taken again cost messages."""
+PEAK_HALF_LIFE_SECONDS = 5.0
+"""Time in which the recorded peak falls by half. Bursts last some seconds, and dropping
+agents from the share and adding them again costs messages."""
 
 
 class AgentOrder:
-    """An entry's agents, the first to be used first.
+    """An entry's agents in order of preference.
 
     Attributes:
-        own: Address of the entry.
-        zone: Of the entry.
-        narrow: Whether it keeps to a share of them.
-        links: The agents in their order.
-        others: The other entries, as of the last sort.
-        peak: The most processor that its tasks took at a time, of late.
+        own_address: Address of the entry.
+        zone: Zone of the entry.
+        limits_to_share: Whether the share is limited, rather than all agents.
+        links: The agents, the preferred ones first.
+        other_entries: The other entries, as of the last sort.
+        sorted_at: When the agents were last sorted for a change of the entries.
+        peak_cpu: Decaying peak of the CPU needs of the entry's placed tasks.
+        peak_updated_at: When ``peak_cpu`` was last updated.
     """
 
-    def __init__(self, own: LinkAddress, zone: ZoneName, narrow: bool = True):
-        self.own = own
+    def __init__(
+        self, own_address: LinkAddress, zone: ZoneName, limits_to_share: bool = True
+    ):
+        self.own_address = own_address
         self.zone = zone
-        self.narrow = narrow
+        self.limits_to_share = limits_to_share
         self.links: list[AgentLink] = []
-        self.others: set[LinkAddress] = set()
+        self.other_entries: set[LinkAddress] = set()
         self.sorted_at = float("-inf")
-        self.peak = 0.0
-        self.noted_at = 0.0
+        self.peak_cpu = 0.0
+        self.peak_updated_at = 0.0
 
     def add(self, link: AgentLink) -> None:
-        """Take in an agent that has come; it may be used at once."""
+        """Insert a new agent at its position."""
         insort(self.links, link, key=self._key)
 
     def remove(self, link: AgentLink) -> None:
-        """Drop an agent."""
+        """Remove an agent."""
         self.links = [other for other in self.links if other is not link]
 
-    def take_entries(self, entries: list[LinkAddress], now: float) -> None:
-        """Sort anew if other entries have come or gone."""
-        others = set(entries) - {self.own}
-        if others == self.others or now - self.sorted_at < SORT_SECONDS:
+    def update_entries(self, entries: list[LinkAddress], now: float) -> None:
+        """Sort the agents again if other entries have come or gone.
+
+        Nothing is done within ``MIN_SORT_INTERVAL_SECONDS`` of the last sort.
+        """
+        other_entries = set(entries) - {self.own_address}
+        if (
+            other_entries == self.other_entries
+            or now - self.sorted_at < MIN_SORT_INTERVAL_SECONDS
+        ):
             return
-        self.others = others
+        self.other_entries = other_entries
         self.sorted_at = now
         self.links.sort(key=self._key)
 
-    def note(self, placed: int, now: float) -> None:
-        """Take the processor that all tasks of this entry take now."""
-        faded = self.peak * 0.5 ** ((now - self.noted_at) / PEAK_SECONDS)
-        self.peak = max(placed, faded)
-        self.noted_at = now
-
-    def share(self) -> int:
-        """Return how many of the agents this entry uses as a rule."""
-        if not self.narrow:
+    def record_placed_cpu(self, placed_cpu: int, now: float) -> None:
+        """Update the peak with the CPU needs of all tasks of this entry."""
+        decayed_peak = self.peak_cpu * 0.5 ** (
+            (now - self.peak_updated_at) / PEAK_HALF_LIFE_SECONDS
+        )
+        self.peak_cpu = max(placed_cpu, decayed_peak)
+        self.peak_updated_at = now
+
+    def share_size(self) -> int:
+        """Return the number of agents in this entry's share, the first of ``links``."""
+        if not self.limits_to_share:
             return len(self.links)
-        room = 0.0
+        usable_cpu = 0.0
         for number, link in enumerate(self.links, start=1):
             if link.room is not None:
-                room += link.room.capacity.cpu * USED_SHARE
-            if room >= self.peak and number >= LEAST_SHARE:
+                usable_cpu += link.room.capacity.cpu * OWN_CPU_FRACTION
+            if usable_cpu >= self.peak_cpu and number >= MIN_SHARE_AGENTS:
                 return number
         return len(self.links)
 
     def _key(self, link: AgentLink) -> tuple[bool, int, int]:
-        own = weight(link, self.own)
-        above = sum(weight(link, entry) > own for entry in self.others)
-        return (link.zone != self.zone, above, own)
+        own_weight = rendezvous_weight(link, self.own_address)
+        higher_ranked = sum(
+            rendezvous_weight(link, entry) > own_weight for entry in self.other_entries
+        )
+        return (link.zone != self.zone, higher_ranked, own_weight)
 
 
-def weight(link: AgentLink, entry: LinkAddress) -> int:
-    """Return how much an agent prefers an entry."""
+def rendezvous_weight(link: AgentLink, entry: LinkAddress) -> int:
+    """Return the rendezvous hashing weight of an entry at an agent."""
     return xxhash.xxh3_64_intdigest(f"{link.name}/{entry}".encode())
--- a/bergamotcourse/coordination/jobs/entry_contact.py
+++ b/bergamotcourse/coordination/jobs/entry_contact.py
@@ -1,16 +1,16 @@
-"""What an agent knows of one entry, and when that entry is owed a message.
+"""An agent's state for one entry, and the times of its messages to that entry.
 
-Many more entries are known than have tasks here at a time. An entry with tasks
-here, or that waits for room, hears often; one that had some of late, a little less so;
-all others share a fixed number of messages, so that they cost the same however many
-they are.
+At any time only few of the known entries have tasks at the agent. An entry with tasks
+there, or that waits for capacity, receives frequent heartbeats; one that had some
+recently, slightly fewer. All others share a fixed rate of messages, so that their cost
+doesn't depend on their number.
 """
 
 from dataclasses import dataclass, field
 
 from msgspec import structs
 
-from bergamotcourse.coordination.jobs.item_stream import Incoming, Outgoing
+from bergamotcourse.coordination.jobs.item_stream import IncomingStream, OutgoingStream
 from bergamotcourse.coordination.jobs.lease_terms import (
     CONTACT_LEASE_SECONDS,
     HEARTBEAT_SECONDS,
@@ -22,133 +22,146 @@
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.task_messages import EntryTurn, PlaceTask, TaskEnded
 
-ABSENT_SECONDS = 0.5
-"""An entry that has left a message unanswered for so long hears rarely, whatever it is
-owed; one that comes back makes itself known."""
+UNRESPONSIVE_SECONDS = 0.5
+"""An entry that has left a message unanswered for so long receives messages at the
+lowest rate, even if items are due. An entry that comes back sends ``Hello``."""
 
 NEVER = -1e9
 
 
 @dataclass
 class EntryContact:
-    """An entry.
+    """An entry, as seen by this agent.
 
     Attributes:
-        entry_boot: Of the entry's process; 0 before it has answered.
-        session: Rises each time the runs of the entry were given up.
-        lease_end: Until when its runs are kept; ``None`` while there is no lease.
-        known: Its first lease in this session was told.
-        heard_at: When it last answered, or became known.
-        warm_until: Until when it hears often, for its latest tasks.
-        waiting: It wants to be told of room.
-        told_at: When it was last told of room.
-        told_left: The processor room that the last message left to it.
-        unconfirmed_since: When the first item came that it was not told of.
-        held: Runs that came with too old an echo; they wait for a later one.
-        payload: Of the last placement in this session.
+        entry_boot: Boot number of the entry's process; 0 before it has answered.
+        session: Session number; rises each time the entry's runs are abandoned.
+        lease_end: When the lease expires that keeps the entry's runs; ``None`` while
+            there is no lease.
+        contact_logged: Whether the first lease in this session was logged.
+        last_received_at: When the entry last answered, or became known.
+        sent_at: When the last message was sent to the entry.
+        active_until: Until when the entry receives frequent heartbeats for its latest
+            tasks.
+        waiting: Whether the entry wants to be notified of free capacity.
+        room_notified_at: When the entry was last notified of free capacity.
+        last_reported_cpu: CPU capacity left to the entry as of the last message.
+        unacknowledged_since: When the first item arrived that was not acknowledged yet.
+        held: Runs that arrived with too old an echo; they wait for a later one.
+        last_payload: Payload of the last placement in this session.
+        outgoing: Items to the entry.
+        incoming: Items from the entry.
     """
 
     address: LinkAddress
-    heard_at: float
+    last_received_at: float
     entry_boot: int = 0
     session: int = 1
     lease_end: float | None = None
-    known: bool = False
+    contact_logged: bool = False
     sent_at: float = NEVER
-    warm_until: float = NEVER
+    active_until: float = NEVER
     waiting: bool = False
-    told_at: float = 0.0
-    told_left: int = 0
-    unconfirmed_since: float | None = None
+    room_notified_at: float = 0.0
+    last_reported_cpu: int = 0
+    unacknowledged_since: float | None = None
     held: list[PlaceTask] = field(default_factory=list)
-    payload: str = ""
-    out: Outgoing[TaskEnded] = field(default_factory=Outgoing)
-    incoming: Incoming = field(default_factory=Incoming)
+    last_payload: str = ""
+    outgoing: OutgoingStream[TaskEnded] = field(default_factory=OutgoingStream)
+    incoming: IncomingStream = field(default_factory=IncomingStream)
 
     def has_lease(self, lease_now: float) -> bool:
-        """Return whether its runs are kept now."""
+        """Return whether the lease that keeps the entry's runs is valid."""
         return self.lease_end is not None and lease_now < self.lease_end
 
-    def take_items(self, turn: EntryTurn, now: float) -> list:
-        """Return the new items of a message."""
+    def accept_items(self, turn: EntryTurn, now: float) -> list:
+        """Return the new items of a message, in order."""
         fresh = self.incoming.accept(turn.first, turn.items)
         if fresh:
-            self.warm_until = now + RECENT_ENTRY_SECONDS
-            if self.unconfirmed_since is None:
-                self.unconfirmed_since = now
+            self.active_until = now + RECENT_ENTRY_SECONDS
+            if self.unacknowledged_since is None:
+                self.unacknowledged_since = now
         if turn.waiting:
-            self.warm_until = now + RECENT_ENTRY_SECONDS
+            self.active_until = now + RECENT_ENTRY_SECONDS
         return fresh
 
     def may_release(self, turn: EntryTurn, lease_now: float) -> bool:
-        """Return whether a message lets the held runs start.
+        """Return whether a message allows the held runs to start.
 
-        It has to renew the lease itself, and all items that the entry had by then must
-        have come: one of these may take a held run back.
+        The message itself must renew the lease, and all items that the entry had when
+        it sent the message must have arrived: one of them may withdraw a held run.
         """
         renews = lease_now < lease_end_of(turn)
         return renews and self.incoming.seen >= turn.last
 
-    def hold(self, order: PlaceTask) -> None:
-        """Take a placement, which waits until it may be released."""
+    def hold_run(self, order: PlaceTask) -> None:
+        """Hold a placement until it may be released."""
         if order.payload is None:
-            order = structs.replace(order, payload=self.payload)
-        self.payload = order.payload
+            order = structs.replace(order, payload=self.last_payload)
+        self.last_payload = order.payload
         self.held.append(order)
 
-    def release(self) -> list[PlaceTask]:
-        """Return the held runs, which are held no longer."""
+    def release_held_runs(self) -> list[PlaceTask]:
+        """Remove the held runs and return them."""
         held, self.held = self.held, []
         return held
 
-    def sent(self, now: float) -> None:
-        """Note that a message leaves, which confirms all that has come."""
+    def note_sent(self, now: float) -> None:
+        """Record a message to the entry; it acknowledges all items received."""
         self.sent_at = now
-        self.unconfirmed_since = None
+        self.unacknowledged_since = None
 
     def begin_session(self) -> None:
-        """Number everything anew; what was sent before is not taken any more."""
+        """Begin a new session with streams numbered from 1.
+
+        Messages of the former session are not accepted any more.
+        """
         self.session += 1
         self.lease_end = None
-        self.known = False
+        self.contact_logged = False
         self.held.clear()
-        self.payload = ""
-        self.unconfirmed_since = None
-        self.incoming = Incoming()
-        self.out.restart()
+        self.last_payload = ""
+        self.unacknowledged_since = None
+        self.incoming = IncomingStream()
+        self.outgoing.restart_numbering()
 
-    def period(self, has_runs: bool, now: float, entries: int) -> float:
-        """Return the seconds between two messages to it.
+    def send_interval_seconds(self, has_runs: bool, now: float, entries: int) -> float:
+        """Return the seconds between two messages to the entry.
 
         Args:
-            has_runs: It has runs here.
-            now: The time.
-            entries: How many entries are known.
+            has_runs: Whether the entry has runs at the agent.
+            now: Current time in seconds.
+            entries: Number of known entries.
         """
-        if not self.is_absent(now):
-            if has_runs or self.waiting or self.held or self.out.items:
+        if not self.is_unresponsive(now):
+            if has_runs or self.waiting or self.held or self.outgoing.items:
                 return HEARTBEAT_SECONDS
-            if now < self.warm_until:
+            if now < self.active_until:
                 return IDLE_HEARTBEAT_SECONDS
         return max(IDLE_HEARTBEAT_SECONDS, entries / IDLE_MESSAGES_PER_SECOND)
 
-    def is_absent(self, now: float) -> bool:
-        """Return whether it has left a message unanswered for long."""
-        silent = now - self.heard_at
-        return self.sent_at > self.heard_at and silent > ABSENT_SECONDS
+    def is_unresponsive(self, now: float) -> bool:
+        """Return whether the entry has left a message unanswered for too long."""
+        silent = now - self.last_received_at
+        return self.sent_at > self.last_received_at and silent > UNRESPONSIVE_SECONDS
+
+    def has_overdue_message(self, now: float) -> bool:
+        """Return whether an item or an acknowledgement is overdue."""
+        since = self.unacknowledged_since
+        unacknowledged = since is not None and now - since >= MAX_ACK_DELAY_SECONDS
+        return unacknowledged or self.outgoing.needs_retransmission(now)
 
-    def is_owed(self, now: float) -> bool:
-        """Return whether an item or a confirmation is overdue."""
-        since = self.unconfirmed_since
-        unconfirmed = since is not None and now - since >= MAX_ACK_DELAY_SECONDS
-        return unconfirmed or self.out.is_late(now)
+    def is_message_due(self, interval: float, now: float) -> bool:
+        """Return whether a message to the entry is due.
 
-    def is_due(self, period: float, now: float) -> bool:
-        """Return whether it is to be sent a message now."""
-        owed = self.is_owed(now) and not self.is_absent(now)
-        return owed or now - self.sent_at >= period
+        Args:
+            interval: Seconds between two messages to the entry.
+            now: Current time in seconds.
+        """
+        overdue = self.has_overdue_message(now) and not self.is_unresponsive(now)
+        return overdue or now - self.sent_at >= interval
 
 
 def lease_end_of(turn: EntryTurn) -> float:
-    """Return until when a message extends the lease, on the agent's clock."""
+    """Return the end of the lease that a message renews, on the agent's clock."""
     return turn.echo_ms / 1000 + CONTACT_LEASE_SECONDS
--- a/bergamotcourse/coordination/jobs/item_stream.py
+++ b/bergamotcourse/coordination/jobs/item_stream.py
@@ -1,41 +1,45 @@
-"""One direction of a session: numbered items, sent until they are confirmed."""
+"""One direction of a session: numbered items, sent until they are acknowledged."""
 
 import itertools
 from collections import deque
 from typing import Generic, TypeVar
 
-from bergamotcourse.coordination.jobs.resend_timer import ResendTimer
+from bergamotcourse.coordination.jobs.retransmission_timer import RetransmissionTimer
 from bergamotcourse.protocol.task_messages import Item
 
 T = TypeVar("T", bound=Item)
 
-MOST_EARLY = 500
-"""Items kept for their turn at a receiver; more are sent again."""
+MAX_OUT_OF_ORDER_ITEMS = 500
+"""Most items that a receiver buffers out of order; others are retransmitted."""
 
-REPEATED_BYTES = 1400
-"""Of the items that are sent again at a time, which then fit into one packet. Were all
-to be sent again, a full link would be kept full: the more it loses, the more it is
-given to carry."""
+MAX_RETRANSMITTED_BYTES = 1400
+"""Size of the items that are retransmitted at a time, so that they fit into one packet.
+If all were retransmitted, a full link would stay full: the more it loses, the more it
+would have to carry."""
 
 
-class Outgoing(Generic[T]):
-    """Items on their way to one peer.
+class OutgoingStream(Generic[T]):
+    """Items in flight, or to be sent, to one peer.
 
     Attributes:
-        first: Number of the oldest item that is not confirmed.
-        sent: Items of ``items`` that were sent at least once.
-        sent_at: When the oldest was last sent, or became the oldest.
-        resent: The oldest was sent again, and is not confirmed since.
-        recover: The last item that was on its way when one was late.
-        lost: The oldest is surely lost: of those sent with it later ones have come.
-        timer: Tells how long to wait until then.
-        timed: Number of the item whose round trip is measured, and when it was sent.
+        items: Items that are not acknowledged, the oldest first.
+        first: Number of the oldest item that is not acknowledged.
+        sent_count: Number of leading ``items`` that were sent at least once.
+        timer_started_at: When the oldest item was last sent, or became the oldest.
+        is_retransmitting: Whether the oldest item was retransmitted and nothing was
+            acknowledged since.
+        recovery_end: Number of the last item in flight at the latest retransmission.
+        oldest_is_lost: Whether the oldest item is lost: an acknowledgement after a
+            retransmission does not include it, though it was in flight before.
+        timer: Retransmission timeout of the stream.
+        timed_item: Number of the item whose round trip is measured, and when it was
+            sent.
     """
 
     def __init__(self):
         self.items: deque[T] = deque()
-        self.timer = ResendTimer()
-        self.restart()
+        self.timer = RetransmissionTimer()
+        self.restart_numbering()
 
     def add(self, item: T) -> None:
         """Append an item."""
@@ -43,105 +47,113 @@
 
     @property
     def last(self) -> int:
-        """Return the number of the last item."""
+        """Return the number of the last item, sent or not."""
         return self.first + len(self.items) - 1
 
-    def confirm(self, number: int, now: float) -> None:
-        """Drop the items up to a number, which the peer has received."""
+    def acknowledge(self, number: int, now: float) -> None:
+        """Remove the items up to a number, which the peer has received."""
         if not self.items or number < self.first:
             return
         while self.items and self.first <= number:
             self.items.popleft()
             self.first += 1
-            self.sent = max(0, self.sent - 1)
-        self.sent_at = now
-        self.resent = False
-        self.lost = self.first <= self.recover
-        if self.timed is not None and self.timed[0] < self.first:
-            self.timer.learn(now - self.timed[1])
-            self.timed = None
-
-    def is_late(self, now: float) -> bool:
-        """Return whether items must be sent again."""
-        expired = now - self.sent_at >= self.timer.wait
-        return self.sent > 0 and (self.lost or expired)
-
-    def take(self, now: float) -> tuple[int, list[T]]:
+            self.sent_count = max(0, self.sent_count - 1)
+        self.timer_started_at = now
+        self.is_retransmitting = False
+        self.oldest_is_lost = self.first <= self.recovery_end
+        if self.timed_item is not None and self.timed_item[0] < self.first:
+            self.timer.record_round_trip(now - self.timed_item[1])
+            self.timed_item = None
+
+    def needs_retransmission(self, now: float) -> bool:
+        """Return whether items must be retransmitted."""
+        expired = now - self.timer_started_at >= self.timer.rto_seconds
+        return self.sent_count > 0 and (self.oldest_is_lost or expired)
+
+    def next_batch(self, now: float) -> tuple[int, list[T]]:
         """Return what to send now: the number of the first item, and the items.
 
-        Until an item that is late is confirmed nothing new is sent: the receiver could
-        not take it yet, and the link may be full.
+        Nothing new is sent until a retransmitted item is acknowledged: the receiver
+        could not deliver it in order yet, and the link may be full.
         """
-        if self.is_late(now):
-            return self.first, self._send_again(now)
-        if self.resent:
-            return self.first + self.sent, []
-        first = self.first + self.sent
-        items = list(self.items)[self.sent :]
-        if not self.sent:
-            self.sent_at = now
-        self.sent = len(self.items)
-        if items and self.timed is None:
-            self.timed = (self.last, now)
+        if self.needs_retransmission(now):
+            return self.first, self._retransmit(now)
+        if self.is_retransmitting:
+            return self.first + self.sent_count, []
+        first = self.first + self.sent_count
+        items = list(self.items)[self.sent_count :]
+        if not self.sent_count:
+            self.timer_started_at = now
+        self.sent_count = len(self.items)
+        if items and self.timed_item is None:
+            self.timed_item = (self.last, now)
         return first, items
 
-    def _send_again(self, now: float) -> list[T]:
-        """Return the oldest items, as many as may be sent again at a time."""
-        if not self.lost:
-            self.timer.expired()
-        self.lost = False
-        self.sent_at = now
-        self.resent = True
-        self.recover = self.first + self.sent - 1
-        self.timed = None
-        again = []
+    def _retransmit(self, now: float) -> list[T]:
+        """Return the oldest items, as many as may be retransmitted at a time."""
+        if not self.oldest_is_lost:
+            self.timer.back_off()
+        self.oldest_is_lost = False
+        self.timer_started_at = now
+        self.is_retransmitting = True
+        self.recovery_end = self.first + self.sent_count - 1
+        self.timed_item = None
+        retransmitted = []
         size = 0
-        for item in itertools.islice(self.items, self.sent):
+        for item in itertools.islice(self.items, self.sent_count):
             size += item.size()
-            if again and size > REPEATED_BYTES:
+            if retransmitted and size > MAX_RETRANSMITTED_BYTES:
                 break
-            again.append(item)
-        return again
+            retransmitted.append(item)
+        return retransmitted
 
-    def restart(self) -> None:
-        """Number the unconfirmed items anew, for a new session."""
+    def restart_numbering(self) -> None:
+        """Number the unacknowledged items from 1, for a new session."""
         self.first = 1
-        self.sent = 0
-        self.sent_at = 0.0
-        self.resent = False
-        self.recover = 0
-        self.lost = False
-        self.timed: tuple[int, float] | None = None
+        self.sent_count = 0
+        self.timer_started_at = 0.0
+        self.is_retransmitting = False
+        self.recovery_end = 0
+        self.oldest_is_lost = False
+        self.timed_item: tuple[int, float] | None = None
 
 
-class Incoming(Generic[T]):
+class IncomingStream(Generic[T]):
     """Items received from one peer.
 
     Attributes:
-        seen: Number of the last item that was taken.
-        early: Items that came before an older one, by number.
+        seen: Number of the last item that was delivered in order.
+        out_of_order: Items buffered until an older one arrives, by number.
     """
 
     def __init__(self):
         self.seen = 0
-        self.early: dict[int, T] = {}
+        self.out_of_order: dict[int, T] = {}
 
     def accept(self, first: int, items: list[T]) -> list[T]:
-        """Return the items that are new and in order, those that came early too."""
+        """Return the items that can now be delivered in order.
+
+        Args:
+            first: Number of the first of ``items``.
+            items: Consecutive items; those delivered before are skipped, and those
+                behind a gap are buffered.
+        """
         if first <= self.seen + 1:
-            fresh = items[self.seen + 1 - first :]
+            deliverable = items[self.seen + 1 - first :]
         else:
-            fresh = []
-            self._keep(first, items)
-        self.seen += len(fresh)
-        while self.seen + 1 in self.early:
+            deliverable = []
+            self._buffer(first, items)
+        self.seen += len(deliverable)
+        while self.seen + 1 in self.out_of_order:
             self.seen += 1
-            fresh.append(self.early[self.seen])
-        if self.early and fresh:
-            self.early = {n: one for n, one in self.early.items() if n > self.seen}
-        return fresh
-
-    def _keep(self, first: int, items: list[T]) -> None:
+            deliverable.append(self.out_of_order[self.seen])
+        if self.out_of_order and deliverable:
+            self.out_of_order = {
+                n: one for n, one in self.out_of_order.items() if n > self.seen
+            }
+        return deliverable
+
+    def _buffer(self, first: int, items: list[T]) -> None:
         for number, item in enumerate(items, first):
-            if len(self.early) < MOST_EARLY:
-                self.early[number] = item
+            if len(self.out_of_order) < MAX_OUT_OF_ORDER_ITEMS:
+                self.out_of_order[number] = item
--- a/bergamotcourse/coordination/jobs/job_dispatcher.py
+++ b/bergamotcourse/coordination/jobs/job_dispatcher.py
@@ -7,7 +7,7 @@
 
 from bergamotcourse.coordination.event_log import EventLog
 from bergamotcourse.coordination.jobs.agent_link import AgentLink
-from bergamotcourse.coordination.jobs.agent_links import AgentLinks, Choices
+from bergamotcourse.coordination.jobs.agent_links import AgentLinks, PlacementCandidates
 from bergamotcourse.coordination.jobs.job_order import (
     dispatch_order_key,
     immediate_refusal,
@@ -95,9 +95,9 @@
         self.had_waiting_jobs = False
         self.started_at = timers.now()
         self.ends_at = NEVER
-        links.on_end = self.handle_run_outcome
-        links.on_settled = self.place_waiting_jobs
-        links.on_room = self.handle_agent_load
+        links.on_run_ended = self.handle_run_outcome
+        links.on_outcomes_reported = self.place_waiting_jobs
+        links.on_room_reported = self.handle_agent_load
         links.is_waiting = self.is_waiting
 
     def is_waiting(self) -> bool:
@@ -167,7 +167,7 @@
         if not self.waiting:
             return
         now = self.timers.now()
-        choices = self.links.choices()
+        choices = self.links.placement_candidates()
         if self.policy.puts_urgent_first:
             self.waiting.sort(key=lambda job: dispatch_order_key(job, now))
         blocked = 0
@@ -180,7 +180,7 @@
         for job in list(self.waiting):
             self._refuse_if_placement_overdue(job)
         if self.waiting and not self.had_waiting_jobs:
-            self.links.tell_all()
+            self.links.notify_all_agents()
         self.had_waiting_jobs = bool(self.waiting)
 
     def handle_agent_load(self, link: AgentLink) -> None:
@@ -193,7 +193,7 @@
 
     def handle_evacuations(self) -> None:
         """Notify agents of evacuations; refuse jobs that no remaining zone can run."""
-        self.links.tell_all()
+        self.links.notify_all_agents()
         for job in self.waiting:
             if not job.may_have_run:
                 self._refuse_if_unservable(job, NEVER)
@@ -265,7 +265,7 @@
         """
         entry_age = self.timers.now() - self.started_at
         refusal = immediate_refusal(
-            job, self.links.available(), entry_age, seconds_left
+            job, self.links.available_agents(), entry_age, seconds_left
         )
         if refusal is not None:
             job.retry_after = refusal.retry_after
@@ -314,7 +314,9 @@
 
     # Placement and outcomes of tasks.
 
-    def _place_pending_tasks(self, job: JobRun, choices: Choices, now: float) -> bool:
+    def _place_pending_tasks(
+        self, job: JobRun, choices: PlacementCandidates, now: float
+    ) -> bool:
         """Place the pending tasks of a job; return false once one finds no room."""
         link = None
         for task in job.pending_tasks():
@@ -329,7 +331,7 @@
         self,
         job: JobRun,
         task: TaskRun,
-        choices: Choices,
+        choices: PlacementCandidates,
         now: float,
         previous: AgentLink | None,
     ) -> AgentLink | None:
@@ -367,7 +369,7 @@
         return link
 
     def _choose_retrying_avoided(
-        self, request: PlacementRequest, choices: Choices
+        self, request: PlacementRequest, choices: PlacementCandidates
     ) -> AgentLink | None:
         link = self._choose_by_group(request, choices)
         if link is None and request.avoid:
@@ -376,9 +378,9 @@
         return link
 
     def _choose_by_group(
-        self, request: PlacementRequest, choices: Choices
+        self, request: PlacementRequest, choices: PlacementCandidates
     ) -> AgentLink | None:
-        for in_contact, without_contact in choices.in_turn():
+        for in_contact, without_contact in choices.by_preference():
             link = choose_in_contact(in_contact, request)
             if link is not None:
                 return link
@@ -417,7 +419,7 @@
             agent=link.name,
             away=task.is_remote,
             free_cpu=link.free().cpu,
-            heard_ms=round((now - link.heard_at) * 1000),
+            heard_ms=round((now - link.last_received_at) * 1000),
             waited_ms=round((now - job.arrived) * 1000),
         )
         job.possible_runs += 1
--- a/bergamotcourse/coordination/jobs/job_order.py
+++ b/bergamotcourse/coordination/jobs/job_order.py
@@ -64,7 +64,7 @@
 def can_ever_run(job: JobRun, step, links: list[AgentLink]) -> bool:
     """Return whether some upstream, if idle and healthy, could run a task of a step."""
     return any(
-        step.needs.fits(link.largest)
+        step.needs.fits(link.largest_capacity)
         and (not step.label or step.label in link.room.labels)
         for link in links
     )
--- a/bergamotcourse/coordination/jobs/job_service.py
+++ b/bergamotcourse/coordination/jobs/job_service.py
@@ -72,7 +72,7 @@
         Under a shortage of processor time a share of the jobs is refused. A job that
         is known here is not refused, because it may have started.
         """
-        if job_id in self.jobs.jobs or not self.processor.turns_away():
+        if job_id in self.jobs.jobs or not self.processor.should_reject_job():
             return None
         why = "this entry is short of processor time"
         lag_ms = round(self.processor.lag * 1000)
--- a/bergamotcourse/coordination/jobs/processor_lag.py
+++ b/bergamotcourse/coordination/jobs/processor_lag.py
@@ -1,10 +1,10 @@
-"""Whether this entry has enough processor time for the jobs that come.
+"""Load shedding of an entry that lacks processor time for the jobs that arrive.
 
-Load it answers: more requests than the processor can read and place, as when a machine
-turns slow or other entries are lost. Requests then age unread, heartbeats are late,
-agents end their sessions and stop what runs, and it is placed again: ever more work for
-ever fewer answers. A share of the jobs, larger the later this process runs, is turned
-away before it is decoded, so that the rest is served in time.
+It guards against more requests than the processor can read and place, as when a
+machine becomes slow or other entries are lost. Requests then age unread and heartbeats
+are late; agents end their sessions and stop the runs, which are placed again: the work
+grows while fewer jobs are answered. Therefore a share of the jobs, which rises with the
+lag of this process, is rejected before decoding, so that the others are served in time.
 """
 
 import random
@@ -14,38 +14,39 @@
 from bergamotcourse.coordination.event_log import EventLog
 from bergamotcourse.coordination.timers import JITTER_SHARE, Timers
 
-LOOK_SECONDS = 0.05
-"""Between looks; half of the lateness that matters. Each costs a turn of the scheduler,
+MEASUREMENT_INTERVAL_SECONDS = 0.05
+"""Half of the least lag that matters. Each measurement costs a pass of the event loop,
 0.15 ms."""
 
-LEAST_LAG_SECONDS = 0.1
-"""Lateness from which on jobs are turned away: less than the time between heartbeats,
-and more than a batch of jobs takes on a tenth of a processor."""
+SHEDDING_START_LAG_SECONDS = 0.1
+"""Lag above which jobs are rejected: less than the heartbeat interval, and more than a
+batch of jobs takes on a tenth of a processor."""
 
-MOST_LAG_SECONDS = 0.25
-"""Lateness at which all but a few are: with the time between heartbeats it comes near
-the end of a session. Replayed at 1.2, 1.5 and 2 times the load that the processor can
-bear, 0.66, 0.49 and 0.27 of the jobs are in time, at half of it 0.98; with none turned
-away 0.01, 0.01 and 0, and 1.0."""
+MAX_SHEDDING_LAG_SECONDS = 0.25
+"""Lag at which all but a few jobs are rejected: added to the heartbeat interval it is
+close to the end of a session. In a replay at 1.2, 1.5 and 2 times the load that the
+processor can bear, 0.66, 0.49 and 0.27 of the jobs are in time, and 0.98 at half of it.
+Without rejections it is 0.01, 0.01 and 0, and 1.0 at half of it."""
 
-MOST_SHARE = 0.95
-"""Some are always taken: were all turned away, the lateness would say nothing."""
+MAX_SHED_SHARE = 0.95
+"""Some jobs are always accepted: if all were rejected, the lag would show nothing."""
 
-
-PAUSE_SHARE = 0.02
-"""A process that used less of the processor than this while it was late was paused:
-what came meanwhile is not too much, and is served. One that is short of processor time
-has had a tenth of it or so."""
+PAUSED_CPU_SHARE = 0.02
+"""A process that used less than this share of the processor while it was late was
+paused; the jobs that arrived meanwhile are no overload and are served. A process short
+of processor time has had about a tenth of it."""
 
 
 class ProcessorLag:
-    """Measures by how much periodic calls are late.
+    """Measures by how much a periodic call is late.
 
     Attributes:
-        turns: Whether jobs are turned away at all.
-        used: Tells the seconds of processor time that this process has used.
-        lag: Lateness of the latest look, in seconds.
-        share: Share of new jobs to be turned away.
+        sheds_load: Whether jobs are rejected at all.
+        process_cpu_seconds: Returns the processor time that this process has used.
+        measured_at: When the lag was last measured.
+        last_cpu_seconds: Processor time used as of the last measurement.
+        lag: Lateness of the latest measurement in seconds; 0 after a pause.
+        shed_share: Share of new jobs to reject.
     """
 
     def __init__(
@@ -53,42 +54,46 @@
         timers: Timers,
         log: EventLog,
         rng: random.Random | None = None,
-        used: Callable[[], float] = time.process_time,
-        turns: bool = True,
+        process_cpu_seconds: Callable[[], float] = time.process_time,
+        sheds_load: bool = True,
     ):
-        self.turns = turns
+        self.sheds_load = sheds_load
         self.timers = timers
         self.log = log
         self.rng = rng or random.Random()
-        self.used = used
-        self.looked_at = timers.now()
-        self.used_before = used()
+        self.process_cpu_seconds = process_cpu_seconds
+        self.measured_at = timers.now()
+        self.last_cpu_seconds = process_cpu_seconds()
         self.lag = 0.0
-        self.share = 0.0
-        timers.every(LOOK_SECONDS, "processor lag", self.look)
-
-    def turns_away(self) -> bool:
-        """Return whether the job that has just come is to be turned away."""
-        return self.turns and self.share > 0 and self.rng.random() < self.share
-
-    async def look(self) -> None:
-        """Note how late this call is."""
+        self.shed_share = 0.0
+        timers.every(MEASUREMENT_INTERVAL_SECONDS, "processor lag", self.measure_lag)
+
+    def should_reject_job(self) -> bool:
+        """Return whether to reject the job that has just arrived."""
+        return (
+            self.sheds_load
+            and self.shed_share > 0
+            and self.rng.random() < self.shed_share
+        )
+
+    async def measure_lag(self) -> None:
+        """Measure how late this call is, and update the share of jobs to reject."""
         now = self.timers.now()
-        due = self.looked_at + LOOK_SECONDS * (1 + JITTER_SHARE)
-        self.looked_at = now
-        used = self.used()
+        due = self.measured_at + MEASUREMENT_INTERVAL_SECONDS * (1 + JITTER_SHARE)
+        self.measured_at = now
+        cpu_seconds = self.process_cpu_seconds()
         late = max(0.0, now - due)
-        paused = used - self.used_before < late * PAUSE_SHARE
-        self.used_before = used
+        paused = cpu_seconds - self.last_cpu_seconds < late * PAUSED_CPU_SHARE
+        self.last_cpu_seconds = cpu_seconds
         self.lag = 0.0 if paused else late
-        was_short = self.share > 0
-        self.share = share_for(self.lag)
-        if (self.share > 0) != was_short:
+        was_short = self.shed_share > 0
+        self.shed_share = shed_share_at(self.lag)
+        if (self.shed_share > 0) != was_short:
             kind = "processor.enough" if was_short else "processor.short"
             self.log.write(kind, lag_ms=round(self.lag * 1000))
 
 
-def share_for(lag: float) -> float:
-    """Return the share of jobs to be turned away at a lateness in seconds."""
-    span = MOST_LAG_SECONDS - LEAST_LAG_SECONDS
-    return min(max((lag - LEAST_LAG_SECONDS) / span, 0.0), MOST_SHARE)
+def shed_share_at(lag: float) -> float:
+    """Return the share of jobs to reject at a lag in seconds."""
+    span = MAX_SHEDDING_LAG_SECONDS - SHEDDING_START_LAG_SECONDS
+    return min(max((lag - SHEDDING_START_LAG_SECONDS) / span, 0.0), MAX_SHED_SHARE)
--- a/bergamotcourse/coordination/jobs/send_soon.py
+++ b/bergamotcourse/coordination/jobs/send_coalescer.py
@@ -1,4 +1,4 @@
-"""Sends once for all that becomes due in one turn of the scheduler."""
+"""Combines all sends to a peer that are requested in one pass of the event loop."""
 
 from collections.abc import Callable
 
@@ -7,11 +7,13 @@
 from bergamotcourse.ids import LinkAddress
 
 
-class SendSoon:
-    """Peers to which something is to be sent at once.
+class SendCoalescer:
+    """Sends once to each peer, however many sends were requested since the last pass.
 
     Attributes:
-        send: Sends to a peer what it is owed.
+        send: Sends to a peer all that is due to it.
+        due: Peers to send to, in order of the first request.
+        wake: Set while ``due`` is not empty.
     """
 
     def __init__(self, send: Callable[[LinkAddress], None]):
@@ -19,13 +21,13 @@
         self.due: dict[LinkAddress, None] = {}
         self.wake = trio.Event()
 
-    def mark(self, peer: LinkAddress) -> None:
-        """Note that a peer is owed something."""
+    def request_send(self, peer: LinkAddress) -> None:
+        """Request a message to a peer as soon as the event loop runs the sender."""
         self.due[peer] = None
         self.wake.set()
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Send the requested messages until cancelled."""
         while True:
             await self.wake.wait()
             self.wake = trio.Event()
--- a/bergamotcourse/daemons/job_agent.py
+++ b/bergamotcourse/daemons/job_agent.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from bergamotcourse.coordination.jobs.contacts import Contacts
+from bergamotcourse.coordination.jobs.entry_contacts import EntryContacts
 from bergamotcourse.coordination.jobs.executor import Executor
 from bergamotcourse.coordination.jobs.store_watch import (
     AGENT_ENTRY_POLL_SECONDS,
@@ -34,7 +34,7 @@
         )
         self.upstreams = UpstreamRows(node.store, node.rng, node.log)
         self.nursery: trio.Nursery | None = None
-        self.contacts = Contacts(
+        self.contacts = EntryContacts(
             node.settings.name,
             node.settings.zone,
             node.boot,
@@ -48,7 +48,7 @@
     async def run(self, nursery: trio.Nursery) -> None:
         """Start all parts."""
         node = self.node
-        self.contacts.learn(node.seeds())
+        self.contacts.add_entries(node.seeds())
         self.nursery = nursery
         reports = node.platform.reports(self.executor, self._upstream_changed, node.log)
         rows = EntryRows(node.store, node.rng, node.log)
@@ -58,7 +58,7 @@
         nursery.start_soon(self.contacts.run)
         nursery.start_soon(serve_http, server(node.settings.reports, reports))
         nursery.start_soon(
-            rows.poll_entries, self.contacts.learn, AGENT_ENTRY_POLL_SECONDS
+            rows.poll_entries, self.contacts.add_entries, AGENT_ENTRY_POLL_SECONDS
         )
 
     async def _recall_upstream(self) -> None:
@@ -67,10 +67,10 @@
         if report is not None and self.executor.life is None:
             self.upstreams.last_stored = report
             await self.executor.recall_upstream(report)
-            self.contacts.tell_all()
+            self.contacts.notify_all_entries()
 
     def _upstream_changed(self) -> None:
-        self.contacts.tell_all()
+        self.contacts.notify_all_entries()
         life = self.executor.life
         if life is not None:
             self.nursery.start_soon(
@@ -79,7 +79,7 @@
 
     def settings_changed(self, settings: NodeSettings) -> None:
         """Take changed settings."""
-        self.contacts.learn([link_address(seed) for seed in settings.seeds])
+        self.contacts.add_entries([link_address(seed) for seed in settings.seeds])
 
     async def stop(self) -> None:
         """Finish what runs, or stop it for others to run, then end."""
@@ -87,11 +87,11 @@
         self.node.log.write("agent.stopping", runs=len(executor.registry.runs))
         executor.stopping = True
         executor.registry.return_queued_runs("the agent is stopping")
-        self.contacts.tell_all()
+        self.contacts.notify_all_entries()
         seconds = self.node.settings.stop_seconds - STOP_RUNS_SECONDS
         if not await wait_until(lambda: not executor.registry.runs, seconds):
             executor.stop_all_runs("the agent is stopping")
             await wait_until(lambda: not executor.registry.runs, LAST_OUTCOMES_SECONDS)
-        await wait_until(self.contacts.all_confirmed, LAST_OUTCOMES_SECONDS)
+        await wait_until(self.contacts.all_outcomes_acknowledged, LAST_OUTCOMES_SECONDS)
         if not executor.registry.runs:
-            self.contacts.say_farewell()
+            self.contacts.send_farewells()
--- a/bergamotcourse/daemons/job_entry.py
+++ b/bergamotcourse/daemons/job_entry.py
@@ -72,7 +72,10 @@
         self.peers.agents = lambda: list(self.links.links)
         self.links.entries = lambda: list(self.peers.peers)
         processor = ProcessorLag(
-            node.timers, node.log, node.rng, turns=node.policy.turns_away_when_short
+            node.timers,
+            node.log,
+            node.rng,
+            sheds_load=node.policy.turns_away_when_short,
         )
         self.service = JobService(self.queues, self.jobs, processor, node.log)
         self.server = server(node.settings.callers, node.platform.callers(self.service))
@@ -115,9 +118,9 @@
         """Act on one message."""
         match message:
             case AgentTurn():
-                self.links.take_turn(sender, message)
+                self.links.handle_agent_turn(sender, message)
             case Farewell(agent=True):
-                self.links.farewell(sender)
+                self.links.handle_farewell(sender)
             case _:
                 self.peers.handle_message(sender, message)
 
@@ -130,7 +133,7 @@
         return (
             not self.stopping
             and self.queues.table is not None
-            and bool(self.links.known())
+            and bool(self.links.reachable_agents())
         )
 
     def settings_changed(self, settings: NodeSettings) -> None:
--- a/bergamotcourse/tests/jobs/chaos.py
+++ b/bergamotcourse/tests/jobs/chaos.py
@@ -1,4 +1,4 @@
-"""Faults at random against a fleet, while callers hand jobs in."""
+"""Random faults injected into a fleet while callers submit jobs."""
 
 import random
 
@@ -8,38 +8,39 @@
 from bergamotcourse.state.job_spec import job_of
 from bergamotcourse.virtual.job_fleet import job
 
-RESEND_SECONDS = 1.3
-"""The soonest that a caller sends a job again after its connection broke."""
+CALLER_RETRY_SECONDS = 1.3
+"""Least time until a caller submits a job again after its connection broke."""
 
 
 class Chaos:
-    """Faults at random, one after the other and at the same time.
+    """Random faults, both in sequence and at the same time.
 
     Attributes:
-        keeps_ids: Upstreams that crash start again under the id that they had.
-        handed_in_once: Jobs that were answered at the first attempt.
-        refused: Of these the jobs that were told as not run.
+        keeps_ids: Whether crashed upstreams restart under their former id.
+        submitted_once: Jobs that were answered at the first attempt.
+        refused: Jobs of ``submitted_once`` that were reported as not run.
+        faulted: Processes with a fault at present.
     """
 
     def __init__(self, fleet, seed, keeps_ids=False):
         self.keeps_ids = keeps_ids
-        self.handed_in_once = set()
+        self.submitted_once = set()
         self.refused = set()
         self.fleet = fleet
         self.rng = random.Random(seed)
         self.jobs = 0
         self.outcomes = []
-        self.struck = set()
+        self.faulted = set()
 
     async def run(self):
         async with trio.open_nursery() as nursery:
             for _ in range(3):
-                nursery.start_soon(self.fault)
+                nursery.start_soon(self.inject_faults)
             for _ in range(40):
-                nursery.start_soon(self.caller)
+                nursery.start_soon(self.call)
                 await trio.sleep(0.1)
 
-    async def caller(self):
+    async def call(self):
         self.jobs += 1
         spec = job(f"j{self.jobs}", self.rng.randint(1, 8), self.rng.uniform(0.1, 1.5))
         for attempt in range(3):
@@ -48,38 +49,38 @@
             answer = await self.fleet.submit(entry, spec, seconds=4.0)
             if answer.outcome not in (None, JobOutcome.TIMED_OUT):
                 break
-            await trio.sleep(RESEND_SECONDS)
+            await trio.sleep(CALLER_RETRY_SECONDS)
         self.outcomes.append(answer.outcome)
         if is_first:
-            self.handed_in_once.add(spec.id)
+            self.submitted_once.add(spec.id)
             if answer.outcome is JobOutcome.REFUSED:
                 self.refused.add(spec.id)
 
     def refused_and_ran(self):
-        """Return the jobs that were told as not run, and ran."""
+        """Return the jobs that were reported as not run, and ran."""
         return self.refused & {job_of(run.key.task) for run in self.fleet.history}
 
     def returned_and_ran(self):
-        """Return the runs that an entry took for never started, and that ran."""
+        """Return the runs that an entry recorded as never started, and that ran."""
         ran = {(run.key.task, run.key.number) for run in self.fleet.history}
         returned = {
             (again["task"], again["run"])
             for again in self.fleet.logged("task.again")
             if again["outcome"] in ("returned", "stale")
-            and job_of(again["task"]) in self.handed_in_once
+            and job_of(again["task"]) in self.submitted_once
         }
         return ran & returned
 
-    async def fault(self):
+    async def inject_faults(self):
         fleet, rng = self.fleet, self.rng
         await trio.sleep(rng.uniform(0.2, 1.0))
         for _ in range(3):
-            agent = rng.choice(sorted(set(fleet.agents) - self.struck))
-            entry = rng.choice(sorted(set(fleet.entries) - self.struck) or ["entry-1"])
+            agent = rng.choice(sorted(set(fleet.agents) - self.faulted))
+            entry = rng.choice(sorted(set(fleet.entries) - self.faulted) or ["entry-1"])
             seconds = rng.uniform(0.05, 2.0)
-            if entry in self.struck:
+            if entry in self.faulted:
                 continue
-            self.struck.update((agent, entry))
+            self.faulted.update((agent, entry))
             match rng.randrange(7):
                 case 0:
                     fleet.agents[agent].kill()
@@ -89,7 +90,7 @@
                     fleet.entries[entry].kill()
                     await trio.sleep(seconds)
                     fleet.start_entry(entry)
-                    self.introduce(entry)
+                    self.announce_entry(entry)
                 case 2:
                     process = fleet.agents[agent]
                     process.freeze()
@@ -117,9 +118,9 @@
                     fleet.cut_upstreams.add(agent)
                     await trio.sleep(seconds)
                     fleet.cut_upstreams.discard(agent)
-            self.struck.difference_update((agent, entry))
+            self.faulted.difference_update((agent, entry))
 
-    def introduce(self, entry):
+    def announce_entry(self, entry):
         address = self.fleet.entries[entry].address
         for agent in self.fleet.agents.values():
-            agent.contacts.learn([address])
+            agent.contacts.add_entries([address])
--- a/bergamotcourse/tests/jobs/test_contact_on_demand.py
+++ b/bergamotcourse/tests/jobs/test_contact_on_demand.py
@@ -1,4 +1,4 @@
-"""Agents that an entry has no contact with: what they cost, and what runs there."""
+"""Agents out of contact with an entry: message rate, handshakes and single runs."""
 
 import pytest
 import trio
@@ -18,26 +18,29 @@
 from bergamotcourse.virtual.job_fleet import QUEUE, job
 
 ENTRY, AGENT = "tcp://entry-1", "tcp://agent-1"
-QUIET_SECONDS = 2.6
-"""After which no entry is in contact, and each has heard all agents of late."""
+CONTACT_LOSS_SECONDS = 2.6
+"""Idle time after which no entry is in contact, but each has a recent message of every
+agent."""
 
 
 @pytest.fixture(autouse=True)
-def rare_messages(monkeypatch):
-    """Let two entries hear an idle agent as rarely as sixteen do."""
+def low_idle_message_rate(monkeypatch):
+    """Send two entries as few messages of an idle agent as if there were sixteen."""
     monkeypatch.setattr(entry_contact, "IDLE_MESSAGES_PER_SECOND", 1)
 
 
 async def out_of_contact(fleet, entry="entry-1"):
-    """Return once an entry may open each of its agents, and is in contact with none."""
-    await trio.sleep(QUIET_SECONDS)
+    """Wait until an entry has no contact and may start a handshake with each agent."""
+    await trio.sleep(CONTACT_LOSS_SECONDS)
     links = fleet.entries[entry].links
-    while len(links.choices().near_quiet) < len(fleet.agents):
+    while len(links.placement_candidates().preferred_without_contact) < len(
+        fleet.agents
+    ):
         await trio.sleep(0.01)
 
 
-class TestPlacing:
-    def test_a_task_starts_after_one_exchange(self):
+class TestPlacementWithoutContact:
+    def test_task_starts_after_one_round_trip(self):
         async def main(fleet):
             await out_of_contact(fleet)
             begun = trio.current_time()
@@ -48,7 +51,7 @@
 
         run_fleet(main)
 
-    def test_the_tasks_of_a_job_share_the_agents_that_have_room(self):
+    def test_tasks_of_a_job_need_few_handshakes(self):
         async def main(fleet):
             await out_of_contact(fleet)
             await fleet.submit("entry-1", job("a", tasks=8))
@@ -56,8 +59,8 @@
 
         run_fleet(main, agents=8)
 
-    def test_an_entry_that_waits_asks_agents_that_it_does_not_hear(self):
-        """All were full when they were last heard, and have room since."""
+    def test_waiting_entry_probes_agents_out_of_contact(self):
+        """All agents reported no free capacity last, and have some since."""
 
         async def main(fleet):
             await trio.sleep(1.0)
@@ -65,7 +68,7 @@
             fleet.nursery.start_soon(fleet.submit, "entry-1", full)
             await trio.sleep(2.4)
             links = fleet.entries["entry-2"].links
-            assert not any(link.free().cpu > 3100 for link in links.known())
+            assert not any(link.free().cpu > 3100 for link in links.reachable_agents())
             begun = trio.current_time()
             answer = await fleet.submit("entry-2", job("a", tasks=8))
             assert answer.outcome is JobOutcome.SUCCEEDED
@@ -74,8 +77,8 @@
         run_fleet(main)
 
 
-class TestDeadAgents:
-    def test_a_task_is_placed_elsewhere_once_its_agent_did_not_answer(self):
+class TestDeadAgent:
+    def test_task_is_placed_elsewhere_if_handshake_is_unanswered(self):
         async def main(fleet):
             await out_of_contact(fleet)
             for name in ("agent-1", "agent-2"):
@@ -92,7 +95,7 @@
 
         run_fleet(main, agents=3)
 
-    def test_a_job_that_found_only_such_agents_has_not_run(self):
+    def test_job_is_refused_as_not_run_if_no_agent_answers(self):
         async def main(fleet):
             await out_of_contact(fleet)
             fleet.agents["agent-1"].kill()
@@ -105,14 +108,17 @@
 
 class TestSlowEntry:
     @pytest.mark.parametrize("seconds, earlier", [(0.02, 0), (0.15, 2)])
-    def test_a_run_that_starts_at_once_is_not_taken_back(self, seconds, earlier):
-        """Two runs of a task overlapped on a calm day, for 46 ms.
-
-        The first was stopped 99 ms after its start, the second started 53 ms after it.
-        Its entry had heard the agent 0.40 s before it placed the first: in contact when
-        the agent was chosen, out of it when the run was placed. So it took the run for
-        one that waits for an answer, and back as soon as the agent began a new session.
-        The agent had started it by an echo that was valid for 50 ms more.
+    def test_run_that_may_have_started_is_not_withdrawn_as_unstarted(
+        self, seconds, earlier
+    ):
+        """Guards against a handshake that is started while the agent holds a lease.
+
+        The entry last receives a message 0.40 s before it places a run: the agent is in
+        contact when it is chosen, and no longer when the run is placed. If the entry
+        then expects a handshake, it withdraws the run as not started once the agent
+        begins a new session. But the agent has started the run by an earlier echo,
+        valid for another 50 ms, and two runs of the task overlap: seen for 46 ms, the
+        first stopped 99 ms after its start and the second started 53 ms after it.
         """
 
         async def main(fleet):
@@ -124,13 +130,15 @@
                 fleet.nursery.start_soon(fleet.submit, "entry-1", early)
             await trio.sleep(RECENT_ENTRY_SECONDS / 2)
             fleet.network.cut(AGENT, ENTRY)
-            await trio.sleep(links["agent-1"].heard_at + 0.39 - trio.current_time())
-            links["agent-2"].unanswered = True
-            take_a_while_to_place(entry, seconds)
+            await trio.sleep(
+                links["agent-1"].last_received_at + 0.39 - trio.current_time()
+            )
+            links["agent-2"].handshake_unanswered = True
+            delay_placement(entry, seconds)
             spec = job("a", tasks=1, work=2.0)
             fleet.nursery.start_soon(fleet.submit, "entry-1", spec)
             await trio.sleep(0.01)
-            links["agent-2"].unanswered = False
+            links["agent-2"].handshake_unanswered = False
             fleet.network.heal(AGENT, ENTRY)
             await trio.sleep(2.0)
             assert any(run.kind is EndKind.STOPPED for run in fleet.history)
@@ -139,30 +147,34 @@
         run_fleet(main, agents=2)
 
 
-def take_a_while_to_place(entry, seconds):
-    """Let time pass between the choice of an agent and the placement there."""
-    choices, now = entry.links.choices, entry.timers.now
-    late = [0.0]
+def delay_placement(entry, seconds):
+    """Delay the placement of a run by some seconds after the choice of its agent."""
+    candidates, now = entry.links.placement_candidates, entry.timers.now
+    delay = [0.0]
 
     def choose():
-        chosen = choices()
-        late[0] = seconds
-        return chosen
+        found = candidates()
+        delay[0] = seconds
+        return found
+
+    entry.links.placement_candidates = choose
+    entry.timers.now = lambda: now() + delay[0]
 
-    entry.links.choices = choose
-    entry.timers.now = lambda: now() + late[0]
 
+async def delay_answers(fleet):
+    """Delay the answers to a placement until the run is placed elsewhere.
 
-async def answers_come_late(fleet):
-    """An agent takes a placement; its answers come once the run is placed elsewhere."""
+    Returns:
+        The runs that overlap.
+    """
     await out_of_contact(fleet)
     entry = fleet.entries["entry-1"]
     [other] = [link for link in entry.links.links.values() if link.name != "agent-1"]
-    other.unanswered = True
+    other.handshake_unanswered = True
     fleet.network.cut(AGENT, ENTRY)
     fleet.nursery.start_soon(fleet.submit, "entry-1", job("a", tasks=1, work=2.0))
     await trio.sleep(0.9 * FIRST_PLACEMENT_TIMEOUT_SECONDS)
-    other.unanswered = False
+    other.handshake_unanswered = False
     await trio.sleep(0.2 * FIRST_PLACEMENT_TIMEOUT_SECONDS)
     fleet.network.heal(AGENT, ENTRY)
     await trio.sleep(2.0)
@@ -170,7 +182,7 @@
 
 
 def lose_withdrawals(fleet):
-    """Lose the first copies of what takes the run back, but not what follows."""
+    """Lose the first two copies of the withdrawal, but not the messages after them."""
     lost = []
 
     def tap(sender, receiver, payload):
@@ -182,22 +194,22 @@
     fleet.network.tap = tap
 
 
-class TestLateAnswers:
-    def test_a_run_that_was_placed_elsewhere_does_not_start(self):
+class TestDelayedAnswers:
+    def test_withdrawn_run_does_not_start(self):
         async def main(fleet):
-            assert await answers_come_late(fleet) == []
+            assert await delay_answers(fleet) == []
             assert len(fleet.history) == 1
 
         run_fleet(main, agents=2)
 
-    def test_nor_while_the_withdrawal_is_lost(self):
+    def test_withdrawn_run_does_not_start_while_withdrawal_is_lost(self):
         async def main(fleet):
             lose_withdrawals(fleet)
-            assert await answers_come_late(fleet) == []
+            assert await delay_answers(fleet) == []
 
         run_fleet(main, agents=2)
 
-    def test_without_a_look_at_what_is_lacking_it_would(self, monkeypatch):
+    def test_without_check_for_missing_items_runs_overlap(self, monkeypatch):
         def may_release(self, turn, lease_now):
             return self.has_lease(lease_now)
 
@@ -205,13 +217,13 @@
 
         async def main(fleet):
             lose_withdrawals(fleet)
-            return await answers_come_late(fleet)
+            return await delay_answers(fleet)
 
         assert run_fleet(main, agents=2)
 
 
 class TestRelease:
-    """What was placed without contact is released by a message of its entry."""
+    """Conditions under which a message of the entry releases held runs."""
 
     def turn(self, last, echo_ms=1000):
         return EntryTurn("entry-1", 1, 1, 1, echo_ms, 0, 1, [], last, False)
@@ -221,20 +233,20 @@
         contact.incoming.seen = seen
         return contact
 
-    def test_needs_all_items_that_the_entry_had(self):
+    def test_missing_items_prevent_release(self):
         contact = self.contact(seen=2)
         assert contact.may_release(self.turn(last=2), 1.0)
         assert not contact.may_release(self.turn(last=3), 1.0)
 
-    def test_needs_a_message_that_renews_the_lease(self):
+    def test_message_that_renews_no_lease_does_not_release(self):
         contact = self.contact(seen=2)
         assert not contact.may_release(self.turn(last=2, echo_ms=100), 1.0)
 
 
-class TestOvertaking:
-    """A placement arrives after the echo of a later message, which gave contact."""
+class TestReorderedPlacement:
+    """A placement arrives after the echo of a later message, which gave a lease."""
 
-    async def placement_comes_last(self, fleet):
+    async def deliver_placement_last(self, fleet):
         await out_of_contact(fleet)
         kept = []
 
@@ -243,20 +255,20 @@
                 return True
             if b"PlaceTask" in payload:
                 kept.append(payload)
-            # The withdrawal does not arrive either, only echoes without items.
+            # Only echoes without items arrive, the withdrawal does not either.
             return b"PlaceTask" not in payload and b"WithdrawTask" not in payload
 
         fleet.network.tap = tap
         entry = fleet.entries["entry-1"]
         other = entry.links.links["tcp://agent-2"]
-        other.unanswered = True
+        other.handshake_unanswered = True
         spec = job("a", tasks=1, work=8.0)
         fleet.nursery.start_soon(fleet.submit, "entry-1", spec, QUEUE, 20.0)
         await trio.sleep(0.9 * FIRST_PLACEMENT_TIMEOUT_SECONDS)
-        other.unanswered = False
+        other.handshake_unanswered = False
         await trio.sleep(0.2 * FIRST_PLACEMENT_TIMEOUT_SECONDS)
         agent = fleet.agents["agent-1"]
-        agent.contacts.entries[ENTRY].warm_until = trio.current_time() + 1.0
+        agent.contacts.entries[ENTRY].active_until = trio.current_time() + 1.0
         while not agent.contacts.in_contact(ENTRY):
             await trio.sleep(0.001)
         fleet.network.tap = None
@@ -264,34 +276,34 @@
         await trio.sleep(2.0)
         return fleet.overlaps()
 
-    def test_it_does_not_start_by_that_contact(self):
-        assert run_fleet(self.placement_comes_last, agents=2) == []
+    def test_earlier_lease_does_not_start_the_run(self):
+        assert run_fleet(self.deliver_placement_last, agents=2) == []
 
-    def test_by_any_contact_it_would(self, monkeypatch):
+    def test_without_check_for_own_echo_runs_overlap(self, monkeypatch):
         def may_release(self, turn, lease_now):
             return self.has_lease(lease_now) and self.incoming.seen >= turn.last
 
         monkeypatch.setattr(EntryContact, "may_release", may_release)
-        assert run_fleet(self.placement_comes_last, agents=2)
+        assert run_fleet(self.deliver_placement_last, agents=2)
 
 
 class TestSessions:
-    def test_one_that_the_entry_has_given_up_is_followed_by_another(self):
-        """The agent had no runs left when it lost the entry, so it kept the session."""
+    def test_session_abandoned_by_the_entry_is_replaced(self):
+        """The agent has no runs left when the lease ends, so it keeps the session."""
 
         async def main(fleet):
             await fleet.submit("entry-1", job("a", tasks=4))
             link = fleet.entries["entry-1"].links.links[AGENT]
-            link.over = True
-            await trio.sleep(QUIET_SECONDS)
-            assert not link.over
+            link.session_abandoned = True
+            await trio.sleep(CONTACT_LOSS_SECONDS)
+            assert not link.session_abandoned
             assert fleet.logged("entry.session_ended")
             answer = await fleet.submit("entry-1", job("b"))
             assert answer.outcome is JobOutcome.SUCCEEDED
 
         run_fleet(main, agents=1)
 
-    def test_a_quiet_one_goes_on(self):
+    def test_idle_session_does_not_end(self):
         async def main(fleet):
             for number in range(3):
                 answer = await fleet.submit("entry-1", job(f"j{number}"))
@@ -302,11 +314,11 @@
         run_fleet(main)
 
 
-class TestComingBack:
-    """After a loss of power entries and agents come back in any order."""
+class TestRestart:
+    """After a power failure entries and agents start again in any order."""
 
-    def test_an_entry_that_greets_is_answered_at_once(self):
-        """What the agents sent before it could receive is lost."""
+    def test_hello_of_a_restarted_entry_is_answered_at_once(self):
+        """Messages that the agents sent before the entry could receive are lost."""
 
         async def main(fleet):
             fleet.entries["entry-1"].kill()
@@ -317,11 +329,11 @@
                 greeting = Hello(False, [], [], 0, asks=False)
                 entry.mailer.post(agent.address, greeting)
             await trio.sleep(0.02)
-            return len(entry.links.choices().near)
+            return len(entry.links.placement_candidates().preferred_in_contact)
 
         assert run_fleet(main, agents=4) == 4
 
-    def test_agents_that_are_found_after_the_first_are_used_at_once(self):
+    def test_agents_discovered_later_are_used_at_once(self):
         async def main(fleet):
             fleet.entries["entry-1"].kill()
             await trio.sleep(3.0)
@@ -332,33 +344,35 @@
                 entry.mailer.post(agent.address, greeting)
                 await trio.sleep(0.01)
                 entry.jobs.place_waiting_jobs()
-                entry.links.choices()
-            return len(entry.links.choices().near)
+                entry.links.placement_candidates()
+            return len(entry.links.placement_candidates().preferred_in_contact)
 
         assert run_fleet(main, agents=4) == 4
 
 
-class TestMessages:
+class TestIdleMessages:
     @pytest.mark.parametrize("entries", [4, 12])
-    def test_an_idle_agent_sends_the_same_to_many_entries(self, entries, monkeypatch):
+    def test_message_rate_of_idle_agent_is_independent_of_entry_count(
+        self, entries, monkeypatch
+    ):
         monkeypatch.setattr(entry_contact, "IDLE_MESSAGES_PER_SECOND", 16)
 
         async def main(fleet):
             await trio.sleep(2.0)
-            before = self.sent_by(fleet, AGENT)
+            before = self.count_sent(fleet, AGENT)
             await trio.sleep(10.0)
-            return self.sent_by(fleet, AGENT) - before
+            return self.count_sent(fleet, AGENT) - before
 
         assert 120 <= run_fleet(main, entries=entries) <= 180
 
-    def sent_by(self, fleet, address):
+    def count_sent(self, fleet, address):
         pairs = fleet.network.sent.items()
         return sum(sent.payloads for (sender, _), sent in pairs if sender == address)
 
 
 class TestChaos:
     @pytest.mark.parametrize("seed", range(100, 116))
-    def test_no_run_overlaps_over_a_network_that_loses_and_reorders(self, seed):
+    def test_no_runs_overlap_on_a_lossy_reordering_network(self, seed):
         async def main(fleet):
             fleet.network.loss = 0.03
             fleet.network.duplicate = 0.03
--- a/bergamotcourse/tests/jobs/test_contract_model.py
+++ b/bergamotcourse/tests/jobs/test_contract_model.py
@@ -1,11 +1,13 @@
-"""A model of the two leases, explored exhaustively.
+"""Exhaustive exploration of a model of the two leases.
 
 An entry dies at time 0. Its agent may be paused for any time and killed at any moment,
-each order may be lost, and what a paused process does first at its thaw is open. All
-states are visited; in none may the run live when the caller comes again elsewhere.
+each order may be lost, and a resumed process may perform its tasks in any order. All
+states are visited; in none may the run be alive when the caller submits the job again
+elsewhere.
 
-An order that is carried out late is no worse than one carried out at once: it carries
-the end of the lease as a point in time, and bars or ends the same run.
+The model needs no delayed orders. An order that is executed late does no more harm than
+one executed at once: it carries the end of the lease as a point in time, and stops or
+bars the same run.
 """
 
 import math
@@ -22,11 +24,11 @@
 )
 
 TICK_SECONDS = 0.05
-RESEND_SECONDS = 1.3
+CALLER_RETRY_SECONDS = 1.3
 
 
 def ticks(seconds: float) -> int:
-    """Return how many ticks cover so many seconds."""
+    """Return the number of ticks that cover a time in seconds."""
     return math.ceil(round(seconds / TICK_SECONDS, 6))
 
 
@@ -44,33 +46,33 @@
 
 @dataclass(frozen=True)
 class Terms:
-    """What the processes do; each guard can be switched off.
+    """Rules of the processes; each guard can be disabled.
 
     Attributes:
         contact: Ticks for which an agent keeps the runs of a silent entry.
-        lease: Ticks of the upstream's lease, its clock's error included.
-        lapses: The upstream ends runs whose lease has ended.
-        renews_for_the_wanted: A renewal asks first whether the contact has ended.
-        starts_for_the_wanted: So does each order to start.
-        stops: An agent ends the runs of an entry whose contact has ended.
+        lease: Ticks of the upstream's lease, including the error of its clock.
+        expires: The upstream stops runs whose lease has expired.
+        checks_before_renewal: The agent renews only while in contact with the entry.
+        checks_before_start: The agent orders starts only while in contact.
+        stops: The agent stops the runs of an entry whose contact has ended.
     """
 
     contact: int = ticks(CONTACT_LEASE_SECONDS)
     lease: int = ticks(UPSTREAM_LEASE_SECONDS * (1 + MAX_CLOCK_DRIFT))
-    lapses: bool = True
-    renews_for_the_wanted: bool = True
-    starts_for_the_wanted: bool = True
+    expires: bool = True
+    checks_before_renewal: bool = True
+    checks_before_start: bool = True
     stops: bool = True
 
 
 @dataclass(frozen=True)
 class State:
-    """One moment; times in ticks since the entry's death.
+    """State at one moment; times are in ticks since the entry's death.
 
     Attributes:
         until: End of the lease at the upstream.
-        contact_end: Of the agent's contact with the entry.
-        noticed: The agent has seen that it ended.
+        contact_end: End of the agent's contact with the entry.
+        noticed: The agent has noticed that the contact has ended.
     """
 
     now: int
@@ -81,8 +83,8 @@
     noticed: bool = False
 
 
-def begin(terms: Terms):
-    """Return the states in which the entry may have died."""
+def initial_states(terms: Terms):
+    """Return the states in which the entry may die."""
     for contact_end in range(terms.contact + 1):
         yield State(0, Agent.RUNS, Run.ORDERED, 0, contact_end)
         for until in range(1, terms.lease + 1):
@@ -90,14 +92,14 @@
 
 
 def act(state: State, terms: Terms):
-    """Return what one tick of the agent may lead to, in any order of its tasks."""
+    """Return the states after one tick of the agent, in any order of its tasks."""
     yield state
     if state.agent is not Agent.RUNS:
         return
     in_contact = state.now < state.contact_end
     end = state.now + terms.lease
-    may_renew = in_contact or (not terms.renews_for_the_wanted and not state.noticed)
-    may_start = in_contact or (not terms.starts_for_the_wanted and not state.noticed)
+    may_renew = in_contact or (not terms.checks_before_renewal and not state.noticed)
+    may_start = in_contact or (not terms.checks_before_start and not state.noticed)
     if state.run is Run.RUNNING and may_renew:
         yield replace(state, until=end)
     if state.run is Run.ORDERED and may_start:
@@ -105,7 +107,7 @@
 
 
 def notice(state: State, terms: Terms):
-    """Return the state once the agent has looked at its contacts."""
+    """Return the state after the agent has checked its contacts."""
     if state.agent is not Agent.RUNS or state.now < state.contact_end:
         return state
     if not terms.stops:
@@ -114,14 +116,14 @@
 
 
 def stop(state: State):
-    """Return what an order to stop may lead to: it may be lost."""
+    """Return the states after an order to stop, which may be lost."""
     yield state
     if state.noticed and state.agent is Agent.RUNS:
         yield replace(state, run=Run.OVER)
 
 
-def struck(state: State):
-    """Return what a fault may make of the agent."""
+def inject_fault(state: State):
+    """Return the states after a possible fault of the agent."""
     yield state
     match state.agent:
         case Agent.RUNS:
@@ -133,34 +135,34 @@
 
 
 def step(state: State, terms: Terms):
-    """Return all states that may follow within a tick."""
-    for before in struck(state):
+    """Return all states that are possible a tick later."""
+    for before in inject_fault(state):
         for acted in act(before, terms):
-            # A fault may come before the agent has looked at its contacts.
-            for after in struck(acted):
+            # A fault may occur before the agent checks its contacts.
+            for after in inject_fault(acted):
                 for stopped in stop(notice(after, terms)):
                     yield pass_tick(stopped, terms)
 
 
 def pass_tick(state: State, terms: Terms) -> State:
-    """Return the state a tick later."""
+    """Return the state a tick later, without any action of the agent."""
     now = state.now + 1
-    if terms.lapses and state.run is Run.RUNNING and now >= state.until:
+    if terms.expires and state.run is Run.RUNNING and now >= state.until:
         return replace(state, now=now, run=Run.OVER)
     return replace(state, now=now)
 
 
 def explore(terms: Terms) -> tuple[int, State | None]:
-    """Return how many states were visited, and one in which two runs may overlap."""
-    comes_again = ticks(RESEND_SECONDS) - ticks(MAX_STOP_SECONDS)
+    """Return the number of visited states, and one in which two runs may overlap."""
+    resubmission = ticks(CALLER_RETRY_SECONDS) - ticks(MAX_STOP_SECONDS)
     seen: set[State] = set()
-    todo = list(begin(terms))
+    todo = list(initial_states(terms))
     while todo:
         state = todo.pop()
         if state in seen:
             continue
         seen.add(state)
-        if state.now >= comes_again:
+        if state.now >= resubmission:
             if state.run is Run.RUNNING:
                 return len(seen), state
             continue
@@ -168,8 +170,8 @@
     return len(seen), None
 
 
-class TestContract:
-    def test_no_run_lives_when_the_caller_comes_again(self):
+class TestLeases:
+    def test_no_run_is_alive_when_the_caller_resubmits(self):
         count, found = explore(Terms())
         assert found is None
         assert count > 10_000
@@ -177,18 +179,18 @@
     @pytest.mark.parametrize(
         "terms",
         [
-            Terms(lapses=False),
-            Terms(renews_for_the_wanted=False),
-            Terms(starts_for_the_wanted=False),
+            Terms(expires=False),
+            Terms(checks_before_renewal=False),
+            Terms(checks_before_start=False),
             Terms(contact=ticks(CONTACT_LEASE_SECONDS) + 4),
             Terms(lease=ticks(UPSTREAM_LEASE_SECONDS) + 5),
         ],
         ids=["no lapse", "renewals", "starts", "long contact", "long lease"],
     )
-    def test_without_a_guard_one_may(self, terms):
+    def test_without_a_guard_a_run_may_be_alive(self, terms):
         _, found = explore(terms)
         assert found is not None
 
-    def test_the_agents_own_stops_are_not_needed_for_it(self):
-        """They end what nobody wants sooner; the leases alone keep runs apart."""
+    def test_leases_suffice_without_stops_by_the_agent(self):
+        """Stops only end abandoned runs sooner; the leases alone keep runs apart."""
         assert explore(Terms(stops=False))[1] is None
--- a/bergamotcourse/tests/jobs/test_crashing_tasks.py
+++ b/bergamotcourse/tests/jobs/test_crashing_tasks.py
@@ -12,7 +12,7 @@
 from bergamotcourse.coordination.jobs.job_run import JobOutcome
 from bergamotcourse.coordination.jobs.policy import JobPolicy
 from bergamotcourse.protocol.upstream_orders import LifeKey
-from bergamotcourse.tests.jobs.chaos import RESEND_SECONDS
+from bergamotcourse.tests.jobs.chaos import CALLER_RETRY_SECONDS
 from bergamotcourse.tests.jobs.fleets import run_fleet
 from bergamotcourse.virtual.job_fleet import QUEUE, job
 
@@ -54,7 +54,7 @@
             while starts_of(fleet, "a.0.0.0") < 2:
                 await trio.sleep(0.05)
             fleet.entries["entry-1"].kill()
-            await trio.sleep(RESEND_SECONDS)
+            await trio.sleep(CALLER_RETRY_SECONDS)
             answer = await fleet.submit("entry-2", spec, QUEUE, CALLER_TIMEOUT_SECONDS)
             assert answer.outcome is JobOutcome.FAILED
             assert starts_of(fleet, "a.0.0.0") <= MAX_STARTS
--- a/bergamotcourse/tests/jobs/test_handshake_model.py
+++ b/bergamotcourse/tests/jobs/test_handshake_model.py
@@ -1,10 +1,10 @@
-"""A model of a placement without contact, explored exhaustively.
+"""Exhaustive exploration of a model of a placement without contact.
 
-An entry places a run at an agent that it has not heard of late. Messages may be lost,
-doubled, and overtake each other without bound; a lease may be valid or over whenever it
-is asked for. An entry that hears nothing after the placement may take the run back and
-place it elsewhere at any moment. All states are visited; in none of those in which it
-did so may the run have started.
+An entry places a run at an agent from which it has no recent message. Messages may be
+lost, duplicated and reordered without bound; a lease may be valid or expired whenever
+it is checked. An entry that receives nothing after the placement may withdraw the run
+and place it elsewhere at any moment. All states are visited; in none of those in which
+it did so may the run have started.
 """
 
 from dataclasses import dataclass, replace
@@ -16,26 +16,27 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """What the processes do; each guard can be switched off.
+    """Rules of the processes; each guard can be disabled.
 
     Attributes:
-        own_echo: A run starts by the echo of the message that lets it, not by a lease
-            that the agent has from another.
-        no_gap: All items that the entry had when it sent that message must have come.
-        told_last: The message tells of all these items, not only of those before its
-            own: of many that are sent again it carries the first alone.
-        only_unheard: A run is taken back only while nothing was heard.
+        own_echo: A run is started only by a message whose own echo renews the lease,
+            not by a lease that the agent has from another message.
+        no_gap: All items that the entry had when it sent that message must have
+            arrived.
+        reports_last: The message reports the number of the last of these items, not
+            only of those before its own: a retransmission carries only the first.
+        only_unanswered: A run is withdrawn only if nothing was received since.
     """
 
     own_echo: bool = True
     no_gap: bool = True
-    told_last: bool = True
-    only_unheard: bool = True
+    reports_last: bool = True
+    only_unanswered: bool = True
 
 
 @dataclass(frozen=True)
 class FromEntry:
-    """A message; ``fresh`` where it echoes one that came after the placement."""
+    """A message; ``fresh`` if it echoes one received after the placement."""
 
     fresh: bool
     first: int
@@ -45,25 +46,25 @@
 
 @dataclass(frozen=True)
 class State:
-    """One moment.
+    """State at one moment.
 
     Attributes:
-        heard: The entry has heard the agent since it placed the run.
-        taken_back: The run was placed elsewhere.
-        items: What the entry may send, by number from 1.
-        to_agent: Messages on their way, which may arrive any number of times, or never.
-        turn_on_way: A message of the agent is on its way.
-        seen: The last item that the agent has taken.
+        answered: The entry has received a message of the agent since the placement.
+        withdrawn: The run was withdrawn and placed elsewhere.
+        items: Items that the entry may send, by number from 1.
+        to_agent: Messages in flight, which may arrive any number of times, or never.
+        turn_in_flight: A message of the agent is in flight.
+        seen: Number of the last item that the agent has received in order.
         held: The agent holds the run.
-        lease: The agent had a lease by a message that came, and it may not be over.
+        lease: A received message gave the agent a lease, which may still be valid.
         started: The run has started.
     """
 
-    heard: bool = False
-    taken_back: bool = False
+    answered: bool = False
+    withdrawn: bool = False
     items: tuple[str, ...] = (PLACE,)
     to_agent: frozenset[FromEntry] = frozenset()
-    turn_on_way: bool = False
+    turn_in_flight: bool = False
     seen: int = 0
     held: bool = False
     lease: bool = False
@@ -71,24 +72,24 @@
 
 
 def entry_steps(state: State, rules: Rules):
-    """Return what the entry may do."""
-    if state.turn_on_way:
-        yield replace(state, heard=True)
-    if not state.taken_back and not (rules.only_unheard and state.heard):
-        yield replace(state, taken_back=True, items=(PLACE, WITHDRAW))
-    if state.taken_back and not state.heard:
+    """Return the states after a possible action of the entry."""
+    if state.turn_in_flight:
+        yield replace(state, answered=True)
+    if not state.withdrawn and not (rules.only_unanswered and state.answered):
+        yield replace(state, withdrawn=True, items=(PLACE, WITHDRAW))
+    if state.withdrawn and not state.answered:
         return
     last = len(state.items)
     for first in range(1, last + 2):
         for end in range(first - 1, last + 1):
             items = state.items[first - 1 : end]
-            message = FromEntry(state.heard, first, items, last)
+            message = FromEntry(state.answered, first, items, last)
             yield replace(state, to_agent=state.to_agent | {message})
 
 
 def agent_steps(state: State, rules: Rules):
-    """Return what the agent may do."""
-    yield replace(state, turn_on_way=True)
+    """Return the states after a possible action of the agent."""
+    yield replace(state, turn_in_flight=True)
     yield replace(state, lease=False)
     for message in state.to_agent:
         for in_time in (False, True):
@@ -96,23 +97,23 @@
 
 
 def receive(state: State, message: FromEntry, renews: bool, rules: Rules) -> State:
-    """Return the state after a message came, whose echo renews the lease or not."""
+    """Return the state after a message arrived, whose echo may renew the lease."""
     state = replace(state, lease=state.lease or renews)
-    fresh = ()
+    new_items = ()
     if message.first <= state.seen + 1:
-        fresh = message.items[state.seen + 1 - message.first :]
-    for item in fresh:
+        new_items = message.items[state.seen + 1 - message.first :]
+    for item in new_items:
         state = replace(state, held=item is PLACE, seen=state.seen + 1)
-    last = message.last if rules.told_last else message.first - 1
-    lacks = state.seen < last
+    last = message.last if rules.reports_last else message.first - 1
+    has_gap = state.seen < last
     may_start = renews if rules.own_echo else state.lease
-    if state.held and may_start and not (rules.no_gap and lacks):
+    if state.held and may_start and not (rules.no_gap and has_gap):
         return replace(state, held=False, started=True)
     return state
 
 
 def explore(rules: Rules) -> tuple[int, State | None]:
-    """Return how many states were visited, and one in which two runs may overlap."""
+    """Return the number of visited states, and one in which two runs may overlap."""
     seen: set[State] = set()
     todo = [State()]
     while todo:
@@ -120,7 +121,7 @@
         if state in seen:
             continue
         seen.add(state)
-        if state.started and state.taken_back:
+        if state.started and state.withdrawn:
             return len(seen), state
         if not state.started:
             todo.extend(entry_steps(state, rules))
@@ -129,7 +130,7 @@
 
 
 class TestHandshake:
-    def test_what_was_taken_back_never_starts(self):
+    def test_withdrawn_run_never_starts(self):
         count, found = explore(Rules())
         assert found is None
         assert count >= 200
@@ -139,11 +140,11 @@
         [
             Rules(own_echo=False),
             Rules(no_gap=False),
-            Rules(told_last=False),
-            Rules(only_unheard=False),
+            Rules(reports_last=False),
+            Rules(only_unanswered=False),
         ],
-        ids=["own echo", "no gap", "told last", "only unheard"],
+        ids=["own echo", "no gap", "reports last", "only unanswered"],
     )
-    def test_without_a_guard_it_may(self, rules):
+    def test_without_a_guard_withdrawn_run_may_start(self, rules):
         _, found = explore(rules)
         assert found is not None
--- a/bergamotcourse/tests/jobs/test_placement.py
+++ b/bergamotcourse/tests/jobs/test_placement.py
@@ -59,7 +59,7 @@
 
     def test_counts_pending_runs_as_load(self):
         a, b = make_link("a"), make_link("b", 1_000)
-        a.add(RunKey(TaskName("t"), 1), NEEDS, "owner")
+        a.add_run(RunKey(TaskName("t"), 1), NEEDS, "owner")
         assert chosen_name([a, b]) == "b"
-        a.drop(RunKey(TaskName("t"), 1))
+        a.remove_run(RunKey(TaskName("t"), 1))
         assert chosen_name([a, b]) == "a"
--- a/bergamotcourse/tests/jobs/test_processor_lag.py
+++ b/bergamotcourse/tests/jobs/test_processor_lag.py
@@ -1,4 +1,4 @@
-"""Too little processor time, replayed as lateness of the calls that measure it."""
+"""Load shedding under a lack of processor time, replayed as late measurements."""
 
 import random
 from collections import deque
@@ -8,16 +8,16 @@
 
 from bergamotcourse.coordination.event_log import EventLog
 from bergamotcourse.coordination.jobs.processor_lag import (
-    LEAST_LAG_SECONDS,
-    LOOK_SECONDS,
-    MOST_LAG_SECONDS,
+    MAX_SHEDDING_LAG_SECONDS,
+    MEASUREMENT_INTERVAL_SECONDS,
+    SHEDDING_START_LAG_SECONDS,
     ProcessorLag,
-    share_for,
+    shed_share_at,
 )
 
 
 class Clock:
-    """Timers whose time is set; the subscriber is called by hand."""
+    """Timers whose time is set by the test, which also calls the subscriber."""
 
     def __init__(self):
         self.time = 0.0
@@ -29,8 +29,8 @@
         pass
 
 
-class Watched:
-    """A lag under test, and what it logs."""
+class LagUnderTest:
+    """A ``ProcessorLag`` under test and the kinds of its log lines."""
 
     def __init__(self):
         self.clock = Clock()
@@ -40,76 +40,76 @@
         rng = random.Random(1)
         self.lag = ProcessorLag(self.clock, log, rng, lambda: self.used)
 
-    def look(self, seconds, share=0.1):
-        """Let so much time pass with a share of the processor, then look."""
+    def measure_after(self, seconds, share=0.1):
+        """Measure after some seconds with a share of the processor."""
         self.clock.time += seconds
         self.used += seconds * share
-        trio.run(self.lag.look)
+        trio.run(self.lag.measure_lag)
 
 
-class TestLateness:
-    def test_calls_in_time_turn_nothing_away(self):
-        watched = Watched()
+class TestShedding:
+    def test_no_job_is_rejected_without_lag(self):
+        tested = LagUnderTest()
         for _ in range(10):
-            watched.look(LOOK_SECONDS * 1.1)
-            assert not watched.lag.turns_away()
+            tested.measure_after(MEASUREMENT_INTERVAL_SECONDS * 1.1)
+            assert not tested.lag.should_reject_job()
 
-    def test_the_later_the_more(self):
-        lags = (LEAST_LAG_SECONDS, 0.15, 0.2, MOST_LAG_SECONDS)
-        shares = [share_for(lag) for lag in lags]
+    def test_shed_share_rises_with_lag(self):
+        lags = (SHEDDING_START_LAG_SECONDS, 0.15, 0.2, MAX_SHEDDING_LAG_SECONDS)
+        shares = [shed_share_at(lag) for lag in lags]
         assert shares == sorted(shares)
         assert shares[0] == 0
-        assert share_for(MOST_LAG_SECONDS * 4) == shares[-1] < 1
+        assert shed_share_at(MAX_SHEDDING_LAG_SECONDS * 4) == shares[-1] < 1
 
-    def test_a_pause_turns_nothing_away(self):
-        watched = Watched()
-        watched.look(2.0, share=0.001)
-        assert watched.lag.share == 0
-        assert watched.kinds == []
+    def test_pause_causes_no_rejections(self):
+        tested = LagUnderTest()
+        tested.measure_after(2.0, share=0.001)
+        assert tested.lag.shed_share == 0
+        assert tested.kinds == []
 
-    def test_a_call_in_time_ends_it(self):
-        watched = Watched()
+    def test_punctual_measurement_ends_shedding(self):
+        tested = LagUnderTest()
         for seconds in (0.2, 0.3, 0.02):
-            watched.look(seconds)
-        assert watched.lag.share == 0
-        assert watched.kinds == ["processor.short", "processor.enough"]
+            tested.measure_after(seconds)
+        assert tested.lag.shed_share == 0
+        assert tested.kinds == ["processor.short", "processor.enough"]
 
 
 class Entry:
-    """A processor that reads requests in passes, and serves or refuses them.
+    """An entry that reads requests in passes, and places or rejects them.
 
     The costs are those of an entry with a tenth of a processor: 60 ms for a job that is
-    placed, 12 ms for one that is turned away.
+    placed, 12 ms for one that is rejected.
     """
 
     PLACE_SECONDS = 0.06
-    REFUSE_SECONDS = 0.012
-    USEFUL_SECONDS = 0.3
+    REJECT_SECONDS = 0.012
+    DEADLINE_SECONDS = 0.3
 
     def __init__(self, sheds):
         self.sheds = sheds
-        self.watched = Watched()
+        self.tested = LagUnderTest()
         self.queue = deque()
         self.in_time = 0
 
     def run_pass(self, arrivals):
-        """Read what has come, then do it all, as an event loop does."""
-        now = self.watched.clock.time
+        """Read all arrived requests, then process them, as an event loop does."""
+        now = self.tested.clock.time
         while arrivals and arrivals[0] <= now:
             self.queue.append(arrivals.popleft())
         cost = 0.001
         for came in self.queue:
-            if self.sheds and self.watched.lag.turns_away():
-                cost += self.REFUSE_SECONDS
+            if self.sheds and self.tested.lag.should_reject_job():
+                cost += self.REJECT_SECONDS
                 continue
             cost += self.PLACE_SECONDS
-            self.in_time += now + cost - came <= self.USEFUL_SECONDS
+            self.in_time += now + cost - came <= self.DEADLINE_SECONDS
         self.queue.clear()
-        self.watched.look(max(cost, LOOK_SECONDS))
+        self.tested.measure_after(max(cost, MEASUREMENT_INTERVAL_SECONDS))
 
 
 def share_in_time(load, sheds, seconds=60.0, seed=1):
-    """Return the share of jobs placed in time, under a load of the processor."""
+    """Return the share of jobs placed in time at a load relative to the processor."""
     rng = random.Random(seed)
     entry = Entry(sheds)
     arrivals = deque()
@@ -125,9 +125,9 @@
 
 class TestOverload:
     @pytest.mark.parametrize(("load", "least"), [(1.2, 0.6), (1.5, 0.44), (2.0, 0.23)])
-    def test_what_is_turned_away_lets_the_rest_be_in_time(self, load, least):
+    def test_rejections_keep_the_other_jobs_in_time(self, load, least):
         assert share_in_time(load, sheds=False) < 0.05
         assert share_in_time(load, sheds=True) > least
 
-    def test_at_half_load_little_is_lost(self):
+    def test_few_jobs_are_rejected_at_half_load(self):
         assert share_in_time(0.5, sheds=True) > 0.95
--- a/bergamotcourse/tests/jobs/test_single_run.py
+++ b/bergamotcourse/tests/jobs/test_single_run.py
@@ -5,20 +5,20 @@
 
 from bergamotcourse.coordination.jobs import lease_terms
 from bergamotcourse.coordination.jobs.job_run import JobOutcome
-from bergamotcourse.tests.jobs.chaos import RESEND_SECONDS, Chaos
+from bergamotcourse.tests.jobs.chaos import CALLER_RETRY_SECONDS, Chaos
 from bergamotcourse.tests.jobs.fleets import run_fleet
 from bergamotcourse.virtual.job_fleet import job
 
 
 async def resend(fleet, spec, entry):
     """Resend a job like a caller whose connection has just broken."""
-    await trio.sleep(RESEND_SECONDS)
+    await trio.sleep(CALLER_RETRY_SECONDS)
     return await fleet.submit(entry, spec)
 
 
 class TestLeaseTerms:
     def test_leases_expire_before_a_caller_resends(self):
-        assert lease_terms.ALL_RUNS_ENDED_SECONDS < RESEND_SECONDS
+        assert lease_terms.ALL_RUNS_ENDED_SECONDS < CALLER_RETRY_SECONDS
 
     def test_leases_outlast_lost_heartbeats_and_renewals(self):
         assert lease_terms.CONTACT_LEASE_SECONDS >= 3 * lease_terms.HEARTBEAT_SECONDS
--- a/bergamotcourse/tests/platform/test_front.py
+++ b/bergamotcourse/tests/platform/test_front.py
@@ -58,7 +58,7 @@
     def test_a_job_is_turned_away_unread(self):
         async def main(fleet):
             front = make_front(fleet)
-            front.service.processor.share = 1.0
+            front.service.processor.shed_share = 1.0
             response = await ask(front, "POST", f"/a/{ID}", b"not read")
             assert response.status == 503
             assert ("retry-after", "1") in response.headers
@@ -71,7 +71,7 @@
             front = make_front(fleet)
             fleet.nursery.start_soon(ask, front, "POST", f"/a/{ID}", JOB)
             await trio.sleep(0.1)
-            front.service.processor.share = 1.0
+            front.service.processor.shed_share = 1.0
             response = await ask(front, "POST", f"/a/{ID}", JOB)
             assert response.status == 200
 
--- a/bergamotcourse/virtual/job_fleet.py
+++ b/bergamotcourse/virtual/job_fleet.py
@@ -8,7 +8,7 @@
 from bergamotcourse.coordination.event_log import EventLog
 from bergamotcourse.coordination.jobs.agent_links import AgentLinks
 from bergamotcourse.coordination.jobs.agent_order import AgentOrder
-from bergamotcourse.coordination.jobs.contacts import Contacts
+from bergamotcourse.coordination.jobs.entry_contacts import EntryContacts
 from bergamotcourse.coordination.jobs.evacuated_zones import EvacuatedZones
 from bergamotcourse.coordination.jobs.executor import Executor
 from bergamotcourse.coordination.jobs.job_dispatcher import JobDispatcher
@@ -170,7 +170,7 @@
         super().__init__(fleet, name)
         self.boot = fleet.next_boot()
         self.executor = Executor(self._connect, self.timers, self.log, fleet.policy)
-        self.contacts = Contacts(
+        self.contacts = EntryContacts(
             name,
             fleet.zone_of(name),
             self.boot,
@@ -183,7 +183,9 @@
 
     async def run(self) -> None:
         """Run until killed."""
-        self.contacts.learn([entry.address for entry in self.fleet.entries.values()])
+        self.contacts.add_entries(
+            [entry.address for entry in self.fleet.entries.values()]
+        )
         await self.serve(self._run_parts)
 
     async def _run_parts(self) -> None:
@@ -200,7 +202,7 @@
                 before = self.executor.refusal(), self.executor.capacity()
                 self.executor.handle_upstream_report(upstream.report())
                 if before != (self.executor.refusal(), self.executor.capacity()):
-                    self.contacts.tell_all()
+                    self.contacts.notify_all_entries()
             await trio.sleep(self.fleet.report_seconds)
 
     def _connect(self, report) -> FrozenPort:
@@ -241,9 +243,9 @@
     def _handle(self, sender, message) -> None:
         match message:
             case AgentTurn():
-                self.links.take_turn(sender, message)
+                self.links.handle_agent_turn(sender, message)
             case Farewell(agent=True):
-                self.links.farewell(sender)
+                self.links.handle_farewell(sender)
 
 
 @dataclass
@@ -461,5 +463,7 @@
         return [fields for _, _, logged, fields in self.events if logged == kind]
 
     def _knows_all(self, entry: EntryProcess) -> bool:
-        ready = [link for link in entry.links.known() if link.room.capacity.cpu]
+        ready = [
+            link for link in entry.links.reachable_agents() if link.room.capacity.cpu
+        ]
         return len(ready) == len(self.agents)
