--- a/bergamotcourse/coordination/jobs/entry_contacts.py
+++ b/bergamotcourse/coordination/jobs/entry_contacts.py
@@ -1,10 +1,10 @@
 """An agent's contacts with entries: sessions, leases and messages.
 
 An agent keeps the runs of an entry only while that entry answers. If it has not for
-``CONTACT_LEASE_SECONDS``, the agent stops its runs and begins a new session; nothing that was
-sent in the former session is accepted any more. An entry without runs at the agent
-needs no lease: its next run is held until the entry has echoed a message that the agent
-sent after it received the run.
+``CONTACT_LEASE_SECONDS``, the agent stops its runs and begins a new session; nothing
+that was sent in the former session is accepted any more. An entry without runs at the
+agent needs no lease: its next run is held until the entry has echoed a message that the
+agent sent after it received the run.
 """
 
 import trio
