--- a/bergamotcourse/bench/leaving.py
+++ b/bergamotcourse/bench/leaving.py
@@ -115,7 +115,7 @@
         return
     upstream = next(iter(process.agent.upstreams.upstreams.values()))
     process.upstream.leaving = True
-    process.agent.upstream_leaves(upstream)
+    process.agent.mark_upstream_leaving(upstream)
 
 
 async def accept_drain(fleet: VirtualFleet, run: LeavingRun, drain: Drain) -> None:
@@ -134,7 +134,7 @@
 
 def covered(fleet: VirtualFleet, leaver: Leaver) -> set[str]:
     """Return the names of the agents whose upstreams leave."""
-    places = {name: process.agent.place for name, process in fleet.agents.items()}
+    places = {name: process.agent.location for name, process in fleet.agents.items()}
     match leaver:
         case Leaver.RACK:
             return {name for name, place in places.items() if place.rack == "rack-1"}
--- a/bergamotcourse/bench/policy_scenarios.py
+++ b/bergamotcourse/bench/policy_scenarios.py
@@ -190,7 +190,7 @@
     def leave(fleet: VirtualFleet) -> None:
         agent = fleet.agents["agent-1"].agent
         for upstream in list(agent.upstreams.upstreams.values()):
-            agent.upstream_leaves(upstream)
+            agent.mark_upstream_leaving(upstream)
         fleet.agents["agent-1"].upstream.down = True
 
     return _with_fault(steady(preset, load, seconds), leave)
@@ -201,7 +201,7 @@
 
     def die(fleet: VirtualFleet) -> None:
         for agent in fleet.agents.values():
-            if agent.agent.place.zone == "zone-3":
+            if agent.agent.location.zone == "zone-3":
                 agent.kill()
                 agent.upstream.kill()
         fleet.entries["entry-3"].kill()
--- a/bergamotcourse/coordination/access.py
+++ b/bergamotcourse/coordination/access.py
@@ -1,4 +1,4 @@
-"""Who calls, and what the manifest lets them do."""
+"""Authentication of teams and operators by bearer token, as the manifest lists them."""
 
 from dataclasses import dataclass
 from hashlib import sha256
@@ -12,12 +12,17 @@
     Team,
 )
 
-BEARER = "bearer "
+BEARER_SCHEME = "bearer "
 
 
 @dataclass
 class Access:
-    """The manifest in force, indexed for lookups on each request."""
+    """The manifest in force, indexed for the lookups that each request needs.
+
+    Attributes:
+        teams: Teams by the SHA-256 digest of each of their tokens.
+        operators: Operators by the SHA-256 digest of each of their tokens.
+    """
 
     version: ConfigVersion
     manifest: Manifest
@@ -27,12 +32,12 @@
     operators: dict[str, Operator]
 
     def team(self, authorization: str) -> Team | None:
-        """Return the team that an Authorization header proves."""
-        return self.teams.get(_digest(authorization))
+        """Return the team that an Authorization header authenticates, if any."""
+        return self.teams.get(_token_digest(authorization))
 
     def operator(self, authorization: str) -> Operator | None:
-        """Return the operator that an Authorization header proves."""
-        return self.operators.get(_digest(authorization))
+        """Return the operator that an Authorization header authenticates, if any."""
+        return self.operators.get(_token_digest(authorization))
 
 
 def index_access(version: ConfigVersion, manifest: Manifest) -> Access:
@@ -47,8 +52,8 @@
     )
 
 
-def _digest(authorization: str) -> str:
-    if not authorization.lower().startswith(BEARER):
+def _token_digest(authorization: str) -> str:
+    if not authorization.lower().startswith(BEARER_SCHEME):
         return ""
-    token = authorization[len(BEARER) :].strip()
+    token = authorization[len(BEARER_SCHEME) :].strip()
     return sha256(token.encode()).hexdigest()
--- a/bergamotcourse/coordination/agent.py
+++ b/bergamotcourse/coordination/agent.py
@@ -1,4 +1,4 @@
-"""The agent: admits starts, runs them on its upstreams, tells entries its state."""
+"""The agent: admits starts, runs the tasks on its upstreams and reports to entries."""
 
 import random
 from collections.abc import Callable
@@ -7,14 +7,18 @@
 import msgspec
 import trio
 
-from bergamotcourse.coordination.agent_reports import AgentPlace, AgentReports
+from bergamotcourse.coordination.agent_reports import AgentLocation, AgentReports
 from bergamotcourse.coordination.result_batches import (
-    HOLD_SECONDS,
-    TAIL_HOLD_SECONDS,
+    JOB_END_HOLD_SECONDS,
+    MAX_HOLD_SECONDS,
     ResultBatches,
 )
-from bergamotcourse.coordination.runner import RunningTask, TaskRunner, result_of
-from bergamotcourse.coordination.slot_calls import SlotCalls
+from bergamotcourse.coordination.runner import (
+    AdmittedTask,
+    TaskRunner,
+    result_without_response,
+)
+from bergamotcourse.coordination.slot_calls import SlotNoticeRequests
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.coordination.upstreams import Upstream, UpstreamSet
 from bergamotcourse.ids import ConfigVersion, LinkAddress
@@ -38,15 +42,17 @@
 from bergamotcourse.state.start_log import Admission, StartLog
 
 BOOT_BITS = 20
-MOST_JOB_TASKS = 512
-"""Tasks of jobs that may wait here for a slot; they do not delay single requests."""
+MAX_WAITING_JOB_TASKS = 512
+"""Limit of job tasks that wait for a slot, by service. They have a queue of their own
+and do not delay single requests."""
 
-START_LOG_MARGIN = 1.25
-"""Starts are remembered longer than asked: those who count on the asked time measure it
-on another clock."""
+START_LOG_RETENTION_FACTOR = 1.25
+"""The start log keeps starts longer than configured, because entries measure the
+configured time on another clock."""
 
 HEARTBEAT_CHECK_SHARE = 0.5
-"""An entry that heard nothing for a heartbeat is told within half of one more."""
+"""Period of the checks for due heartbeats, as a share of the heartbeat period. A
+heartbeat is late by at most this share."""
 
 
 @dataclass(frozen=True)
@@ -54,11 +60,13 @@
     """Bounds of one agent.
 
     Attributes:
-        token_seconds: The life of a token.
-        start_log_seconds: How long a start is remembered.
-        result_bytes: Results kept for entries that ask again.
-        queue_tasks: Tasks that may wait for a slot, for each service.
-        upstream_lease_seconds: An upstream must renew within this.
+        token_seconds: Lifetime of a token, which entries must send with a start.
+        start_log_seconds: Retention period of the start log.
+        result_bytes: Limit of the results kept for retransmission to entries, in bytes.
+        queue_tasks: Limit of tasks of single requests that wait for a slot, by service.
+        heartbeat_seconds: Period of the heartbeats to attached entries.
+        upstream_lease_seconds: Time within which an upstream must renew its
+            announcement.
     """
 
     token_seconds: float = 5.0
@@ -71,7 +79,13 @@
 
 @dataclass
 class AgentCounters:
-    """What an agent counts."""
+    """Counters of an agent since its start.
+
+    Attributes:
+        started: Admitted tasks.
+        refused: Refused starts, by reason.
+        results: Results of admitted tasks, by outcome.
+    """
 
     started: int = 0
     refused: dict[str, int] = field(default_factory=dict)
@@ -82,21 +96,27 @@
     """One agent beside its upstreams.
 
     Attributes:
-        reports: Tells the entries this agent's state.
-        first: The platform's table had no row of this identity at the start.
+        boot: Random number that identifies this process.
+        started_ms: Start of the process, in milliseconds on the agent's clock.
+        reports: Reports state and load to the attached entries.
+        has_more_job_tasks: Whether an entry has more job tasks to send, by entry and
+            service, as its last start said.
+        slot_notices: Entries that requested a notice of a free slot.
+        first: Whether the platform's table had no row of this identity at the start.
+        on_state_change: Called before a changed state is reported.
         on_started: Called with each admitted task.
         on_finished: Called with each admitted task and its result.
     """
 
     def __init__(
         self,
-        place: AgentPlace,
+        location: AgentLocation,
         limits: AgentLimits,
         mailer: Mailer,
         timers: Timers,
         rng: random.Random,
     ):
-        self.place = place
+        self.location = location
         self.limits = limits
         self.mailer = mailer
         self.timers = timers
@@ -105,13 +125,13 @@
         self.start_log = StartLog(
             self.boot,
             int(limits.token_seconds * 1000),
-            int(limits.start_log_seconds * 1000 * START_LOG_MARGIN),
+            int(limits.start_log_seconds * 1000 * START_LOG_RETENTION_FACTOR),
         )
         self.results = ResultStore(limits.result_bytes)
         self.upstreams = UpstreamSet(timers, limits.upstream_lease_seconds)
-        self.runner = TaskRunner(timers, self.upstreams, self._finished)
+        self.runner = TaskRunner(timers, self.upstreams, self._handle_result)
         self.reports = AgentReports(
-            place,
+            location,
             self.boot,
             self.upstreams,
             self.start_log,
@@ -119,27 +139,27 @@
             timers,
             limits.heartbeat_seconds,
         )
-        self.reports.load_of = self._load
+        self.reports.load_of = self._load_counts
         self.reports.health_of = self.runner.health.report
         self.batches = ResultBatches(self._send_results)
-        self.more_jobs: dict[tuple[LinkAddress, str], bool] = {}
-        self.calls = SlotCalls()
-        self.runner.freed = self._call_for_tasks
+        self.has_more_job_tasks: dict[tuple[LinkAddress, str], bool] = {}
+        self.slot_notices = SlotNoticeRequests()
+        self.runner.on_slot_free = self._notify_of_free_slot
         self.attachments = self.reports.attachments
         self.counters = AgentCounters()
         self.first = False
         self.on_state_change: Callable[[], None] = lambda: None
-        self.on_started: Callable[[RunningTask], None] = lambda _task: None
-        self.on_finished: Callable[[RunningTask, TaskResult], None] = (
+        self.on_started: Callable[[AdmittedTask], None] = lambda _task: None
+        self.on_finished: Callable[[AdmittedTask, TaskResult], None] = (
             lambda _task, _result: None
         )
         mailer.handler = self.handle
         check = limits.heartbeat_seconds * HEARTBEAT_CHECK_SHARE
-        timers.every(check, "agent heartbeat", self._heartbeat)
+        timers.every(check, "agent heartbeat", self._send_heartbeats)
 
     @property
     def leaving(self) -> bool:
-        """Whether new starts are refused, on a planned stop."""
+        """Whether the agent refuses new starts because of a planned stop."""
         return self.reports.leaving
 
     async def run(self) -> None:
@@ -150,11 +170,11 @@
             nursery.start_soon(self.runner.run)
 
     def handle(self, sender: LinkAddress, message: AnyMessage) -> None:
-        """Act on one message of an entry."""
-        self.reports.hear(sender)
+        """Handle one message of an entry."""
+        self.reports.record_contact(sender)
         match message:
             case Start():
-                self._start(sender, message)
+                self._handle_start(sender, message)
             case Cancel(tasks=cancelled):
                 for one in cancelled:
                     for index in one.indices:
@@ -166,65 +186,69 @@
             case CloseUpstreams(version=version, upstreams=names):
                 self._close_upstreams(ConfigVersion(version), names)
             case Fence():
-                self._fence(sender, message)
+                self._handle_fence(sender, message)
             case Bar():
-                self._bar(sender, message)
+                self._handle_bar(sender, message)
 
     def announce(self, upstream: Upstream) -> None:
-        """Take an upstream's announcement or renewal."""
+        """Add or renew an announced upstream, and start tasks that wait for a slot."""
         self.upstreams.announce(upstream)
         self.runner.start_waiting(upstream.service)
-        if self.reports.changed():
-            self.tell_all()
+        if self.reports.update_number():
+            self.report_to_all()
 
-    def upstream_leaves(self, upstream: Upstream) -> None:
-        """Give an upstream nothing new, and tell the entries at once."""
-        self.upstreams.leave(upstream.id)
+    def mark_upstream_leaving(self, upstream: Upstream) -> None:
+        """Start no new tasks on an upstream, and report this to the entries at once."""
+        self.upstreams.mark_leaving(upstream.id)
         if not self.upstreams.serving(upstream.service):
             self.runner.refuse_waiting(upstream.service, "the upstream is leaving")
-        self.tell_all()
+        self.report_to_all()
 
     def begin_leaving(self) -> None:
-        """Refuse new starts, finish what runs, tell the entries."""
+        """Refuse new starts and waiting tasks and report it; running tasks continue."""
         self.reports.leaving = True
         for service in list(self.runner.queues):
             self.runner.refuse_waiting(service, "the agent is leaving")
-        self.tell_all()
+        self.report_to_all()
 
-    def tell_all(self) -> None:
-        """Tell all attached entries this agent's state."""
+    def report_to_all(self) -> None:
+        """Report this agent's state to all attached entries."""
         self.on_state_change()
-        self.reports.tell_all()
+        self.reports.report_to_all()
 
     def _close_upstreams(self, version: ConfigVersion, names: list[str]) -> None:
-        """Give upstreams nothing new, also of what waits here."""
-        if not self.reports.close(version, names):
+        """Close the named upstreams and refuse waiting tasks without an open one."""
+        if not self.reports.close_upstreams(version, names):
             return
         for service in list(self.runner.queues):
             if not self.upstreams.serving(service):
                 detail = f"the configuration closed all upstreams of {service}"
                 self.runner.refuse_waiting(service, detail)
             self.runner.start_waiting(service)
-        self.tell_all()
+        self.report_to_all()
 
-    def _load(self, service: str, entry: LinkAddress) -> tuple[int, int, int, int]:
+    def _load_counts(
+        self, service: str, entry: LinkAddress
+    ) -> tuple[int, int, int, int]:
         return (
             self.runner.running.get(service, 0),
-            self.runner.waiting(service),
-            self.runner.held_for(entry, service),
-            self.runner.waiting_jobs(service),
+            self.runner.waiting_count(service),
+            self.runner.task_count_for(entry, service),
+            self.runner.waiting_job_count(service),
         )
 
-    def _start(self, sender: LinkAddress, start: Start) -> None:
+    def _handle_start(self, sender: LinkAddress, start: Start) -> None:
         admission = self.start_log.admit(start, sender, self.timers.now_ms())
         match admission:
             case Admission.ADMITTED:
-                self._run(sender, start)
+                self._admit_task(sender, start)
             case Admission.COPY:
-                self._repeat_result(sender, start)
+                self._resend_result(sender, start)
             case Admission.ALREADY_STARTED:
                 kept = self.results.get(start.submission, start.index)
-                unknown = result_of(start, Outcome.UNKNOWN, admission.value)
+                unknown = result_without_response(
+                    start, Outcome.UNKNOWN, admission.value
+                )
                 result = msgspec.structs.replace(
                     kept or unknown, dispatch=start.dispatch
                 )
@@ -238,7 +262,7 @@
             case Admission.CLOSED | Admission.FULL:
                 self._refuse(sender, start, admission.value)
 
-    def _refusal(self, start: Start) -> str | None:
+    def _refusal_reason(self, start: Start) -> str | None:
         if self.leaving:
             return "the agent is leaving"
         if not self.upstreams.serving(start.service):
@@ -248,44 +272,44 @@
     def _is_full(self, start: Start) -> bool:
         if self.runner.has_free_slot(start.service):
             return False
-        most = MOST_JOB_TASKS if start.job else self.limits.queue_tasks
-        room = self.runner.has_room(start.service, start.job, most)
+        most = MAX_WAITING_JOB_TASKS if start.job else self.limits.queue_tasks
+        room = self.runner.has_queue_room(start.service, start.job, most)
         return not (start.queue and room)
 
-    def _run(self, sender: LinkAddress, start: Start) -> None:
+    def _admit_task(self, sender: LinkAddress, start: Start) -> None:
         now = self.timers.now()
-        self.calls.note(start.service, sender, start.wants, now)
+        self.slot_notices.update(start.service, sender, start.wants, now)
         if start.job:
-            self.more_jobs[(sender, start.service)] = start.more
-        refusal = self._refusal(start)
+            self.has_more_job_tasks[(sender, start.service)] = start.more
+        refusal = self._refusal_reason(start)
         full = refusal is None and self._is_full(start)
         if refusal is not None or full:
-            # Admitted first, so that the log knows a late copy of this start.
+            # The start was admitted first, so that the log recognises a late duplicate.
             self.start_log.withdraw(start.submission, start.index)
             self._refuse(sender, start, refusal or "no slot is free", full=full)
             return
         self.counters.started += 1
         deadline = now + start.timeout_ms / 1000
-        task = RunningTask(start, sender, now, deadline)
+        task = AdmittedTask(start, sender, now, deadline)
         self.on_started(task)
-        self.runner.add(task)
+        self.runner.enqueue(task)
 
     def _refuse(
         self, sender: LinkAddress, start: Start, why: str, **flags: bool
     ) -> None:
         self.counters.refused[why] = self.counters.refused.get(why, 0) + 1
-        result = result_of(start, Outcome.NOT_RUN, why, **flags)
+        result = result_without_response(start, Outcome.NOT_RUN, why, **flags)
         self.batches.add(sender, result)
 
-    def _repeat_result(self, sender: LinkAddress, start: Start) -> None:
+    def _resend_result(self, sender: LinkAddress, start: Start) -> None:
         kept = self.results.get(start.submission, start.index)
         if kept is not None:
             self.mailer.post(sender, kept)
 
-    def _finished(self, task: RunningTask, result: TaskResult) -> None:
+    def _handle_result(self, task: AdmittedTask, result: TaskResult) -> None:
         start = task.start
         if result.outcome is Outcome.NOT_RUN:
-            # Not kept: the task may yet be started here by a later dispatch.
+            # The result is not kept: a later dispatch may start the task here.
             self.start_log.withdraw(start.submission, start.index)
         else:
             self.results.add(start.submission, start.index, result)
@@ -296,32 +320,33 @@
             return
         self.batches.add(task.entry, result, self._hold_seconds(task))
 
-    def _hold_seconds(self, task: RunningTask) -> float:
-        """Return for how long a result may be held, for others to go with it."""
+    def _hold_seconds(self, task: AdmittedTask) -> float:
+        """Return the seconds for which a result may be held for batching."""
         if not task.start.job:
             return 0.0
         owner = (task.entry, task.start.service)
-        if self.runner.jobs_waiting[owner]:
-            return HOLD_SECONDS
-        last = not self.more_jobs.get(owner, True)
+        if self.runner.waiting_job_tasks[owner]:
+            return MAX_HOLD_SECONDS
+        last = not self.has_more_job_tasks.get(owner, True)
         others = self.runner.by_submission[task.start.submission]
-        return TAIL_HOLD_SECONDS if last and others else 0.0
+        return JOB_END_HOLD_SECONDS if last and others else 0.0
 
-    def _call_for_tasks(self, task: RunningTask) -> None:
-        """Tell an entry that waits of a slot that another's task left."""
+    def _notify_of_free_slot(self, task: AdmittedTask) -> None:
+        """Notify a waiting entry of a slot that a task of another entry has freed."""
         now = self.timers.now()
-        entry = self.calls.next(task.start.service, task.entry, now)
+        entry = self.slot_notices.pop_next(task.start.service, task.entry, now)
         if entry is not None:
-            self.reports.tell(entry)
+            self.reports.report_to(entry)
 
     def _send_results(self, entry: LinkAddress, results: list[TaskResult]) -> None:
-        # A state that is news goes first: the entry decides on it at the result.
-        load = self.reports.ride(entry)
+        # A changed state is sent before the results, because the entry dispatches by it
+        # when it receives them.
+        load = self.reports.load_for_result(entry)
         last = msgspec.structs.replace(results[-1], load=load)
         for result in [*results[:-1], last]:
             self.mailer.post(entry, result)
 
-    def _fence(self, sender: LinkAddress, fence: Fence) -> None:
+    def _handle_fence(self, sender: LinkAddress, fence: Fence) -> None:
         for range_id, epoch in fence.ranges:
             self.start_log.fence(range_id, epoch)
         now_ms = self.timers.now_ms()
@@ -332,18 +357,20 @@
             )
             for submission, s in self.start_log.started_in(ranges)
         ]
-        up_ms, first = self._memory(now_ms)
-        reply = StartLogReply(fence.id, self.place.id, self.boot, up_ms, first, records)
+        up_ms, first = self._start_log_coverage(now_ms)
+        reply = StartLogReply(
+            fence.id, self.location.id, self.boot, up_ms, first, records
+        )
         self.mailer.post(sender, reply)
 
-    def _bar(self, sender: LinkAddress, bar: Bar) -> None:
+    def _handle_bar(self, sender: LinkAddress, bar: Bar) -> None:
         now_ms = self.timers.now_ms()
         started = self.start_log.bar(bar.submission, bar.attempt, now_ms)
         kept = [self.results.get(bar.submission, index) for index in started]
-        up_ms, first = self._memory(now_ms)
+        up_ms, first = self._start_log_coverage(now_ms)
         reply = BarReply(
             re=bar.id,
-            agent=self.place.id,
+            agent=self.location.id,
             boot=self.boot,
             up_ms=up_ms,
             first=first,
@@ -354,14 +381,17 @@
         )
         self.mailer.post(sender, reply)
 
-    def _memory(self, now_ms: int) -> tuple[int, bool]:
-        """Return for how long back starts are known, and whether that is all time."""
+    def _start_log_coverage(self, now_ms: int) -> tuple[int, bool]:
+        """Return the milliseconds covered by the start log, and whether it is complete.
+
+        It is complete if it covers all starts that this identity ever admitted.
+        """
         up_ms = now_ms - self.started_ms
         memory_ms = self.start_log.memory_ms(up_ms)
         return memory_ms, self.first and memory_ms == up_ms
 
-    async def _heartbeat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         self.upstreams.expire()
-        if self.reports.changed():
-            self.tell_all()
-        self.reports.heartbeat()
+        if self.reports.update_number():
+            self.report_to_all()
+        self.reports.send_heartbeats()
--- a/bergamotcourse/coordination/agent_reports.py
+++ b/bergamotcourse/coordination/agent_reports.py
@@ -1,7 +1,7 @@
-"""What an agent tells the entries of itself.
+"""Reports of an agent's state and load to the attached entries.
 
-The whole state goes out when an entry attaches and after a change. Otherwise only the
-load does: with each result, and as a heartbeat to an entry that got no result lately.
+The full state is sent when an entry attaches and after a change. Otherwise only the
+load is sent: with each result, and as a heartbeat to an entry without recent results.
 """
 
 from dataclasses import dataclass
@@ -29,24 +29,24 @@
 from bergamotcourse.state.start_log import StartLog
 
 OFFERED_COUNTS = 3
-"""Running, waiting and mine."""
+"""Number of load counts in an ``Offer``: running, waiting and mine."""
 
-MINE = 2
-"""Of these, the place of mine."""
+OWN_COUNT_INDEX = 2
+"""Index of the count of the entry's own tasks (mine) in the load counts."""
 
-IDLE_HEARTBEATS = 2
-"""An entry without a task here is told once in so many heartbeats."""
+IDLE_REPORT_HEARTBEATS = 2
+"""Heartbeats between reports to an entry without a task at this agent."""
 
-ATTACHMENT_PERIODS = 30
-"""An entry that sent nothing for so many heartbeats is detached."""
+ATTACHMENT_TIMEOUT_HEARTBEATS = 30
+"""Heartbeats without a message after which an entry is detached."""
 
-ALIKE = 0.2
-"""Share by which a run time may differ from the one told before it is news."""
+RUN_TIME_TOLERANCE_SHARE = 0.2
+"""Relative change of the run time below which the load need not be reported again."""
 
 
 @dataclass(frozen=True)
-class AgentPlace:
-    """Who and where an agent is."""
+class AgentLocation:
+    """Name and location of an agent."""
 
     id: AgentId
     zone: ZoneName
@@ -56,33 +56,40 @@
 
 @dataclass
 class Attachment:
-    """An entry that gets this agent's state.
+    """An entry that receives this agent's reports.
 
     Attributes:
-        told_number: Of the whole state that it was told last; 0 for none.
-        told: The load that it was told last.
+        entry: Name of the entry.
+        last_received_at: Time of its last message, in seconds.
+        last_reported_at: Time of the last report to it, in seconds.
+        reported_number: Number of the full state that it was sent last; 0 for none.
+        reported_load: The load that it was sent last.
     """
 
     entry: str
     address: LinkAddress
-    last_heard: float
-    last_told: float = 0.0
-    told_number: int = 0
-    told: AgentLoad | None = None
+    last_received_at: float
+    last_reported_at: float = 0.0
+    reported_number: int = 0
+    reported_load: AgentLoad | None = None
 
 
 class AgentReports:
-    """Tells the attached entries an agent's state and load.
+    """Reports an agent's state and load to the attached entries.
 
     Attributes:
-        number: Rises with each change of the state beside the load.
-        closed_version: The version by which upstreams are closed.
-        leaving: Told to the entries.
+        number: Number of the state; rises with each change of anything but the load.
+        reported_state: The state that ``number`` stands for.
+        closed_version: The version of the configuration by which upstreams are closed.
+        leaving: Whether the agent refuses new starts because of a planned stop.
+        load_of: Returns the running, waiting, own and waiting job tasks for a service
+            and an entry.
+        health_of: Returns the health of the tasks of a service.
     """
 
     def __init__(
         self,
-        place: AgentPlace,
+        location: AgentLocation,
         boot: int,
         upstreams: UpstreamSet,
         start_log: StartLog,
@@ -90,7 +97,7 @@
         timers: Timers,
         heartbeat_seconds: float,
     ):
-        self.place = place
+        self.location = location
         self.boot = boot
         self.upstreams = upstreams
         self.start_log = start_log
@@ -99,94 +106,104 @@
         self.heartbeat_seconds = heartbeat_seconds
         self.attachments: dict[LinkAddress, Attachment] = {}
         self.number = 0
-        self.told: tuple | None = None
+        self.reported_state: tuple | None = None
         self.closed_version = NO_VERSION
         self.leaving = False
         self.load_of = lambda _service, _entry: (0, 0, 0, 0)
         self.health_of = lambda _service: Health(0, 0, 0)
 
     def attach(self, entry: str, address: LinkAddress, has: int = 0) -> None:
-        """Report to an entry from now on; it is told at once what is news to it."""
+        """Report to an entry from now on, and at once unless it is up to date.
+
+        Args:
+            entry: Name of the entry.
+            address: Its link address.
+            has: Number of the state that it has; 0 for none.
+        """
         known = self.attachments.get(address)
         now = self.timers.now()
-        self.attachments[address] = Attachment(entry, address, now, told_number=has)
+        self.attachments[address] = Attachment(entry, address, now, reported_number=has)
         if known is None or has != self.number:
-            self.tell(address)
+            self.report_to(address)
         else:
-            self.attachments[address].last_told = known.last_told
+            self.attachments[address].last_reported_at = known.last_reported_at
 
     def detach(self, address: LinkAddress) -> None:
-        """Report to an entry no more."""
+        """Stop reporting to an entry."""
         self.attachments.pop(address, None)
 
-    def hear(self, address: LinkAddress) -> None:
-        """Note that an entry sent something."""
+    def record_contact(self, address: LinkAddress) -> None:
+        """Record the time of a message from an entry."""
         attachment = self.attachments.get(address)
         if attachment is not None:
-            attachment.last_heard = self.timers.now()
+            attachment.last_received_at = self.timers.now()
 
-    def close(self, version: ConfigVersion, upstreams: list[str]) -> bool:
+    def close_upstreams(self, version: ConfigVersion, upstreams: list[str]) -> bool:
         """Close the named upstreams and open the others; false for an old version."""
         if version < self.closed_version:
             return False
         self.closed_version = version
-        self.upstreams.close({UpstreamId(name) for name in upstreams})
+        self.upstreams.set_closed({UpstreamId(name) for name in upstreams})
         return True
 
-    def tell(self, entry: LinkAddress) -> None:
-        """Tell one entry the load, or the whole state where that is news to it."""
-        self.changed()
+    def report_to(self, entry: LinkAddress) -> None:
+        """Report the load to one entry, or the full state if it lacks that."""
+        self.update_number()
         attachment = self.attachments.get(entry)
         if attachment is not None:
-            attachment.last_told = self.timers.now()
-            attachment.told = self._load(entry)
-            if attachment.told_number == self.number:
-                self.mailer.post(entry, attachment.told)
+            attachment.last_reported_at = self.timers.now()
+            attachment.reported_load = self._load_message(entry)
+            if attachment.reported_number == self.number:
+                self.mailer.post(entry, attachment.reported_load)
                 return
-            attachment.told_number = self.number
+            attachment.reported_number = self.number
         self.mailer.post(entry, self.state(entry))
 
-    def ride(self, entry: LinkAddress) -> AgentLoad | None:
-        """Return the load to put into a result, or ``None`` where it is no news.
+    def load_for_result(self, entry: LinkAddress) -> AgentLoad | None:
+        """Return the load to attach to a result, or ``None`` if the entry knows it.
 
-        The whole state, where that is news, is told by itself.
+        If the entry lacks the current state, the full state is sent separately.
         """
-        self.changed()
+        self.update_number()
         attachment = self.attachments.get(entry)
-        if attachment is None or attachment.told_number != self.number:
-            self.tell(entry)
+        if attachment is None or attachment.reported_number != self.number:
+            self.report_to(entry)
             return None
-        load = self._load(entry)
-        age = self.timers.now() - attachment.last_told
-        if age < self.heartbeat_seconds / 2 and _same(load, attachment.told):
+        load = self._load_message(entry)
+        age = self.timers.now() - attachment.last_reported_at
+        if age < self.heartbeat_seconds / 2 and _is_already_known(
+            load, attachment.reported_load
+        ):
             return None
-        attachment.last_told = self.timers.now()
-        attachment.told = load
+        attachment.last_reported_at = self.timers.now()
+        attachment.reported_load = load
         return load
 
-    def tell_all(self) -> None:
-        """Tell all attached entries."""
+    def report_to_all(self) -> None:
+        """Report to all attached entries."""
         for address in list(self.attachments):
-            self.tell(address)
+            self.report_to(address)
 
-    def heartbeat(self) -> None:
-        """Tell those that heard nothing lately; detach those that are silent."""
+    def send_heartbeats(self) -> None:
+        """Report to entries without a recent report; detach those that are silent."""
         now = self.timers.now()
-        silent = ATTACHMENT_PERIODS * self.heartbeat_seconds
+        silent = ATTACHMENT_TIMEOUT_HEARTBEATS * self.heartbeat_seconds
         for address, attachment in list(self.attachments.items()):
-            if now - attachment.last_heard > silent:
+            if now - attachment.last_received_at > silent:
                 del self.attachments[address]
-            elif now - attachment.last_told >= self._period(address):
-                self.tell(address)
+            elif now - attachment.last_reported_at >= self._report_interval(address):
+                self.report_to(address)
 
-    def _period(self, entry: LinkAddress) -> float:
-        """Return the seconds after which an entry is told again."""
+    def _report_interval(self, entry: LinkAddress) -> float:
+        """Return the seconds between reports to an entry."""
         services = self.upstreams.services()
-        busy = any(self.load_of(service, entry)[MINE] for service in services)
-        return self.heartbeat_seconds * (1 if busy else IDLE_HEARTBEATS)
+        busy = any(
+            self.load_of(service, entry)[OWN_COUNT_INDEX] for service in services
+        )
+        return self.heartbeat_seconds * (1 if busy else IDLE_REPORT_HEARTBEATS)
 
     def state(self, entry: LinkAddress) -> AgentState:
-        """Return the whole state as an entry is told it."""
+        """Return the full state to report to an entry."""
         offers = [
             Offer(
                 service,
@@ -196,11 +213,11 @@
             for service in self.upstreams.services()
         ]
         return AgentState(
-            agent=self.place.id,
+            agent=self.location.id,
             boot=self.boot,
-            zone=self.place.zone,
-            rack=self.place.rack,
-            worker=self.place.worker,
+            zone=self.location.zone,
+            rack=self.location.rack,
+            worker=self.location.worker,
             token=self.start_log.issue_token(self.timers.now_ms()),
             leaving=self.leaving,
             offers=offers,
@@ -209,7 +226,7 @@
             number=self.number,
         )
 
-    def _load(self, entry: LinkAddress) -> AgentLoad:
+    def _load_message(self, entry: LinkAddress) -> AgentLoad:
         services = self.upstreams.services()
         loads = [self.load_of(service, entry) for service in services]
         token = self.start_log.issue_token(self.timers.now_ms())
@@ -221,7 +238,7 @@
             UpstreamOffer(
                 id=one.id,
                 service=one.service,
-                zone="" if one.zone == self.place.zone else one.zone,
+                zone="" if one.zone == self.location.zone else one.zone,
                 release=one.release,
                 slots=one.slots,
                 closed=one.closed,
@@ -230,34 +247,41 @@
             if not one.leaving
         ]
 
-    def changed(self) -> bool:
-        """Number the state anew if more than the load changed; return whether."""
+    def update_number(self) -> bool:
+        """Increment the number if more than the load changed; return whether it did."""
         now = (self.leaving, self.closed_version, self._upstream_offers())
-        if now == self.told:
+        if now == self.reported_state:
             return False
-        self.told = now
+        self.reported_state = now
         self.number += 1
         return True
 
 
-def _same(load: AgentLoad, told: AgentLoad | None) -> bool:
-    """Return whether an entry that counts its own tasks knows a load already."""
+def _is_already_known(load: AgentLoad, reported: AgentLoad | None) -> bool:
+    """Return whether a load adds nothing to the one reported before.
+
+    The entry counts its own tasks, so these are left out of the comparison.
+    """
     return (
-        told is not None
-        and _others(load) == _others(told)
-        and len(load.health) == len(told.health)
-        and all(map(_alike, load.health, told.health))
+        reported is not None
+        and _load_of_others(load) == _load_of_others(reported)
+        and len(load.health) == len(reported.health)
+        and all(map(_is_similar_health, load.health, reported.health))
     )
 
 
-def _others(load: AgentLoad) -> list[tuple[int, int]]:
-    """Return, by service, the tasks of other entries, and of all jobs that wait."""
+def _load_of_others(load: AgentLoad) -> list[tuple[int, int]]:
+    """Return, by service, the tasks of other entries and all waiting job tasks."""
     return [
         (running + waiting - mine, jobs) for running, waiting, mine, jobs in load.loads
     ]
 
 
-def _alike(health: Health, told: Health) -> bool:
-    """Return whether an agent does well, and about as well as told."""
-    change = abs(health.run_ms - told.run_ms)
-    return not health.failing and not told.failing and change <= ALIKE * told.run_ms
+def _is_similar_health(health: Health, reported: Health) -> bool:
+    """Return whether nothing fails and the run time is close to the reported one."""
+    change = abs(health.run_ms - reported.run_ms)
+    return (
+        not health.failing
+        and not reported.failing
+        and change <= RUN_TIME_TOLERANCE_SHARE * reported.run_ms
+    )
--- a/bergamotcourse/coordination/agents.py
+++ b/bergamotcourse/coordination/agents.py
@@ -1,7 +1,7 @@
-"""What an entry knows of the agents it works with.
+"""An entry's directory of agents.
 
-The knowledge costs no message of its own under load: an agent's state rides with its
-results. A heartbeat tells it when there are none.
+Under load it costs no messages of its own, because an agent's load is attached to its
+results. Without results, the agent sends heartbeats.
 """
 
 from collections.abc import Iterator
@@ -15,16 +15,18 @@
 from bergamotcourse.state.start_log import TOKEN_TIME_BITS
 
 NEVER = -1e9
-"""Seconds, for what did not happen yet."""
+"""Time in seconds of an event that has not happened yet."""
 
 
 class AgentHealth(Enum):
-    """How an entry sees an agent.
+    """Health of an agent from the point of view of an entry.
 
     Attributes:
-        USABLE: Gets new work.
-        SILENT: No message for some heartbeats: no new work, what runs is waited for.
-        LEAVING: It said so, or a drain covers it: no new work.
+        USABLE: The agent gets new tasks.
+        SILENT: No message has arrived for some heartbeats. The agent gets no new tasks;
+            the entry waits for those that run.
+        LEAVING: The agent has reported that it leaves, or a drain covers it. It gets no
+            new tasks.
     """
 
     USABLE = "usable"
@@ -34,20 +36,23 @@
 
 @dataclass
 class AgentView:
-    """One agent as an entry sees it.
+    """State of one agent as known to an entry.
 
     Attributes:
+        boot: The process that sent the last state.
+        token: The last token received, to be sent with each start.
+        last_received_at: Time of the last message, in seconds.
+        last_attach: Time of the last ``Attach``, in seconds.
+        last_sent: Time at which the last task was sent, in seconds.
+        attach_since: Time of the first of the unanswered ``Attach``, in seconds.
+        row_boot: The process that wrote the agent's row.
+        offers: The offers of ``state`` that the configuration permits, by service.
         in_flight: This entry's starts without a result, by service.
         own_jobs: Of these, the tasks of jobs.
-        others: The load of other entries at the last report, by service.
-        waiting_jobs: Tasks of jobs that waited there at the last report, by service.
-        health: How the tasks of all entries fare there, by service.
-        last_attach: Seconds; when the entry attached itself last.
-        last_sent: Seconds; when the entry sent it a task last.
-        attach_since: Seconds; when it first tried, of tries without an answer.
-        row_boot: The process that wrote the agent's row.
-        state: As the agent told it last.
-        offers: Of it, what the configuration permits.
+        load_of_others: Tasks of other entries at the last report, by service.
+        waiting_jobs: Job tasks that waited there at the last report, by service.
+        health: Health of the tasks of all entries, by service.
+        state: The last state received.
     """
 
     id: AgentId
@@ -59,7 +64,7 @@
     token: int = 0
     leaving: bool = False
     attached: bool = False
-    last_heard: float = 0.0
+    last_received_at: float = 0.0
     last_attach: float = NEVER
     last_sent: float = NEVER
     attach_since: float = NEVER
@@ -67,46 +72,48 @@
     offers: dict[str, Offer] = field(default_factory=dict)
     in_flight: dict[str, int] = field(default_factory=dict)
     own_jobs: dict[str, int] = field(default_factory=dict)
-    others: dict[str, int] = field(default_factory=dict)
+    load_of_others: dict[str, int] = field(default_factory=dict)
     waiting_jobs: dict[str, int] = field(default_factory=dict)
     health: dict[str, Health] = field(default_factory=dict)
     state: AgentState | None = None
 
-    def own(self, service: str) -> int:
-        """Return this entry's tasks there."""
+    def own_tasks(self, service: str) -> int:
+        """Return the number of this entry's tasks in flight at the agent."""
         return self.in_flight.get(service, 0)
 
     def load(self, service: str) -> int:
-        """Return the tasks there, as far as known."""
-        return self.own(service) + self.others.get(service, 0)
+        """Return the number of tasks at the agent, as far as known."""
+        return self.own_tasks(service) + self.load_of_others.get(service, 0)
 
     def jobs_ahead(self, service: str) -> int:
-        """Return the tasks of jobs that wait there, as far as known."""
+        """Return the number of job tasks that wait at the agent, as far as known."""
         own = self.own_jobs.get(service, 0) - self.slots(service)
         return max(self.waiting_jobs.get(service, 0), own, 0)
 
     def queue(self, service: str) -> int:
-        """Return the tasks there that a single request would wait for."""
+        """Return the number of tasks that a single request would wait for."""
         return max(0, self.load(service) - self.jobs_ahead(service))
 
     def slots(self, service: str) -> int:
-        """Return the slots for a service."""
+        """Return the number of slots for a service."""
         offer = self.offers.get(service)
         return offer.slots if offer else 0
 
-    def busy(self) -> bool:
-        """Return whether this entry waits for a result of it."""
+    def awaits_results(self) -> bool:
+        """Return whether a task of this entry is in flight at the agent."""
         return any(self.in_flight.values())
 
 
 class AgentDirectory:
-    """All agents that an entry knows.
+    """All agents known to an entry.
 
     Attributes:
-        silent_seconds: After so long without a message an agent is silent.
-        departed: Seconds at which agents went whose start logs are lost.
-        drains: Of the configuration in force.
-        permits: Which upstreams may get new work; ``None`` for all.
+        silent_seconds: Time without a message after which an agent is silent.
+        views: The agents by name.
+        by_address: The agents by link address.
+        departed: Times in seconds at which agents departed; their start logs are lost.
+        drains: Drains of the configuration in force.
+        permits: The upstreams that may get new tasks; ``None`` for all.
     """
 
     def __init__(self, silent_seconds: float):
@@ -122,7 +129,7 @@
         return iter(self.views.values())
 
     def add(self, agent: AgentId, address: LinkAddress, zone: str = "") -> AgentView:
-        """Add an agent or note its new address; return its view."""
+        """Add an agent or update its address; return its view."""
         self.departed.pop(agent, None)
         view = self.views.get(agent)
         if view is None:
@@ -138,26 +145,28 @@
     def is_superseded(self, agent: str, address: LinkAddress) -> bool:
         """Return whether an agent of that name is known at another address.
 
-        Agents are added as the platform's rows name them, so the process at this
-        address is not the agent, or no longer.
+        Agents are added by the platform's rows, so the process at this address is not
+        the agent, or is no longer.
         """
         view = self.views.get(AgentId(agent))
         return view is not None and view.address != address
 
     def departed_since(self, when: float) -> list[AgentId]:
-        """Return the agents that went after a time in seconds."""
+        """Return the agents that departed at or after a time in seconds."""
         return [agent for agent, at in self.departed.items() if at >= when]
 
     def remove(self, agent: AgentId, now: float) -> AgentView | None:
-        """Forget an agent that is gone, but for the time at which it went."""
+        """Remove a departed agent and record the time of its departure."""
         view = self.views.pop(agent, None)
         self.departed[agent] = now
         if view is not None:
             self.by_address.pop(view.address, None)
         return view
 
-    def report(self, address: LinkAddress, state: AgentState, now: float) -> AgentView:
-        """Take an agent's state."""
+    def record_state(
+        self, address: LinkAddress, state: AgentState, now: float
+    ) -> AgentView:
+        """Record an agent's full state and return its view."""
         view = self.add(AgentId(state.agent), address, state.zone)
         view.boot = state.boot
         view.token = state.token
@@ -166,51 +175,53 @@
         view.worker = state.worker
         view.leaving = state.leaving
         view.attached = True
-        view.last_heard = now
+        view.last_received_at = now
         view.state = state
-        view.offers = self._permitted(state)
+        view.offers = self._permitted_offers(state)
         for offer in state.offers:
-            _note_load(view, offer.service, offer.running, offer.waiting, offer.mine)
+            _record_load_counts(
+                view, offer.service, offer.running, offer.waiting, offer.mine
+            )
         return view
 
-    def report_load(self, address: LinkAddress, load: AgentLoad, now: float) -> bool:
-        """Take an agent's load; false where its state is not known here."""
+    def record_load(self, address: LinkAddress, load: AgentLoad, now: float) -> bool:
+        """Record an agent's load; return false if the state it refers to is unknown."""
         view = self.by_address.get(address)
         if view is None or view.state is None or view.state.number != load.number:
             return False
         if load.token >> TOKEN_TIME_BITS != view.boot:
             return False
         view.token = load.token
-        view.last_heard = now
+        view.last_received_at = now
         for offer, counts in zip(view.state.offers, load.loads, strict=False):
-            _note_load(view, offer.service, *counts)
+            _record_load_counts(view, offer.service, *counts)
         for offer, health in zip(view.state.offers, load.health, strict=False):
             view.health[offer.service] = health
         return True
 
-    def permit(self, permits: Permits) -> None:
-        """Offer only what a new configuration permits from now on."""
+    def apply_permits(self, permits: Permits) -> None:
+        """Restrict the offers of all agents to what a new configuration permits."""
         self.permits = permits
         self.drains = permits.drains
         for view in self:
             if view.state is not None:
-                view.offers = self._permitted(view.state)
+                view.offers = self._permitted_offers(view.state)
 
-    def _permitted(self, state: AgentState) -> dict[str, Offer]:
+    def _permitted_offers(self, state: AgentState) -> dict[str, Offer]:
         if self.permits is None:
             return {offer.service: offer for offer in state.offers}
         return self.permits.offers(state)
 
     def health(self, view: AgentView, now: float) -> AgentHealth:
-        """Return how an agent is seen now."""
+        """Return the health of an agent."""
         if view.leaving or self.drains.covers(view):
             return AgentHealth.LEAVING
-        if not view.attached or now - view.last_heard > self.silent_seconds:
+        if not view.attached or now - view.last_received_at > self.silent_seconds:
             return AgentHealth.SILENT
         return AgentHealth.USABLE
 
     def usable(self, service: str, now: float) -> list[AgentView]:
-        """Return the agents that may get a task of a service."""
+        """Return the usable agents with a slot for a service."""
         return [
             view
             for view in self.views.values()
@@ -222,7 +233,7 @@
         return any(view.slots(service) for view in self.views.values())
 
 
-def _note_load(
+def _record_load_counts(
     view: AgentView,
     service: str,
     running: int,
@@ -230,5 +241,5 @@
     mine: int,
     waiting_jobs: int = 0,
 ) -> None:
-    view.others[service] = max(0, running + waiting - mine)
+    view.load_of_others[service] = max(0, running + waiting - mine)
     view.waiting_jobs[service] = waiting_jobs
--- a/bergamotcourse/coordination/entry.py
+++ b/bergamotcourse/coordination/entry.py
@@ -1,4 +1,4 @@
-"""An entry: all its parts, wired together."""
+"""An entry: its parts, their wiring and the dispatch of messages to them."""
 
 import random
 import time
@@ -11,7 +11,6 @@
 from bergamotcourse.coordination.answer_recovery import AnswerRecovery
 from bergamotcourse.coordination.claimant import Claimant
 from bergamotcourse.coordination.claims import ClaimService
-from bergamotcourse.coordination.closing import UpstreamCloser
 from bergamotcourse.coordination.config_exchange import ConfigExchange
 from bergamotcourse.coordination.config_watch import CONFIG_POLL_SECONDS, ConfigWatch
 from bergamotcourse.coordination.dispatcher import Dispatcher
@@ -29,6 +28,7 @@
 from bergamotcourse.coordination.takeover_cleanup import TakeoverCleanup
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.coordination.tracing import EntryTracer
+from bergamotcourse.coordination.upstream_closer import UpstreamCloser
 from bergamotcourse.ids import ConfigVersion, EntryId, LinkAddress, ZoneName
 from bergamotcourse.protocol.mailer import Mailer
 from bergamotcourse.protocol.messages import (
@@ -55,24 +55,26 @@
 
 BOOT_BITS = 32
 SILENT_HEARTBEATS = 3
-CLAIM_PATIENCE_LEASES = 3
-AGENT_WATCH_PERIODS = 2
-ADJUST_SECONDS = 0.2
+CLAIM_RETRY_LEASES = 3
+AGENT_WATCH_HEARTBEATS = 2
+ATTACHMENT_LIMIT_UPDATE_SECONDS = 0.2
 RESTART_GRACE_SECONDS = 0.1
-"""For an agent's new process to refuse starts that were sent to the former one."""
+"""Time for an agent's new process to refuse starts that were sent to the former one."""
 
 
 @dataclass(frozen=True)
 class EntryOptions:
-    """What an entry is told; times in seconds.
+    """Options of an entry; times in seconds.
 
     Attributes:
-        name: Name of the place; the process adds a random part of its own.
-        retention_seconds: How long submissions are remembered.
-        answer_bytes: Answers kept for those who submit again.
-        key_skew_seconds: The wall clocks of callers and entries differ by less.
-        log_sample: Share of the requests whose steps are logged.
-        neighbours: Agents of a service that it stays attached to without demand.
+        name: Configured name; the process appends a random part.
+        retention_seconds: Retention period of submissions.
+        answer_bytes: Limit of the answers kept for repeated submissions, in bytes.
+        key_skew_seconds: Upper bound of the difference between the wall clocks of
+            callers and entries.
+        log_sample: Share of the requests whose steps are logged, from 0 to 1.
+        neighbours: Number of agents of a service that the entry stays attached to
+            without demand.
     """
 
     name: str
@@ -89,9 +91,9 @@
 
 
 class WallClock:
-    """Unix milliseconds that go on with the monotonic clock.
+    """Unix time in milliseconds, advanced by the monotonic clock.
 
-    Read once at the start: later jumps of the wall clock change nothing.
+    The wall clock is read once at the start, so that later jumps of it have no effect.
     """
 
     def __init__(self, timers: Timers, unix_ms: int | None = None):
@@ -100,7 +102,7 @@
         self.started: int | None = None
 
     def __call__(self) -> int:
-        """Return Unix milliseconds now."""
+        """Return the Unix time in milliseconds."""
         now_ms = self.timers.now_ms()
         if self.started is None:
             self.started = now_ms
@@ -111,8 +113,9 @@
     """One entry.
 
     Attributes:
-        id: Name and a random part, new for each process and each lost lease.
-        stopping: Takes no new work.
+        id: Configured name and a random part, which is new for each process and after
+            each lost lease.
+        stopping: Whether the entry accepts no new work because of a planned stop.
     """
 
     def __init__(
@@ -131,7 +134,7 @@
         self.rng = rng
         self.wall_ms = wall_ms or WallClock(timers)
         self.stopping = False
-        self.range_watch = trio.Lock()
+        self.range_watch_lock = trio.Lock()
         self.nursery: trio.Nursery | None = None
         self.config = ConfigWatch(platform, timers)
         silent_seconds = SILENT_HEARTBEATS * options.heartbeat_seconds
@@ -142,7 +145,9 @@
         self.ledger = Ledger(keep_ms)
         self.answers = AnswerStore(options.answer_bytes, options.retention_seconds)
         self.view = LeaseView(platform, timers, options.lease_seconds)
-        self._join_as(EntryId(f"{options.name}-{rng.getrandbits(BOOT_BITS):08x}"))
+        self._create_lease_parts(
+            EntryId(f"{options.name}-{rng.getrandbits(BOOT_BITS):08x}")
+        )
         self.dispatcher = Dispatcher(
             mailer,
             timers,
@@ -158,7 +163,7 @@
             self.view,
             mailer,
             timers,
-            CLAIM_PATIENCE_LEASES * options.lease_seconds,
+            CLAIM_RETRY_LEASES * options.lease_seconds,
         )
         recovery = AnswerRecovery(self.directory, self._list_agents, mailer, timers)
         self.submissions = Submissions(
@@ -171,8 +176,8 @@
         )
         self.agent_discovery = AgentDiscovery(
             ProcessLocation(self.id, options.zone),
-            self._entries,
-            self._queued,
+            self._entry_locations,
+            self._queue_lengths,
             self.directory,
             platform,
             mailer,
@@ -184,9 +189,9 @@
             self.config, mailer, timers, self._peer_versions, rng
         )
         self.tracer = EntryTracer(rng, options.log_sample)
-        self.submissions.on_granted = self.tracer.granted
-        self.dispatcher.on_sent = self.tracer.sent
-        self.dispatcher.on_outcome = self.tracer.outcome
+        self.submissions.on_granted = self.tracer.log_granted
+        self.dispatcher.on_sent = self.tracer.log_sent
+        self.dispatcher.on_outcome = self.tracer.log_outcome
         mailer.handler = self.handle
         mailer.on_envelope = self.exchange.handle_envelope
         mailer.on_unsent = self.dispatcher.handle_unsent_messages
@@ -203,11 +208,11 @@
             try:
                 await trio.sleep_forever()
             finally:
-                # Callers that go with the process still cancel their tasks.
+                # Callers that end with the process can still cancel their tasks.
                 self.dispatcher.cancels.nursery = None
 
     def ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether the entry can accept requests."""
         return (
             not self.stopping
             and self.config.ready
@@ -216,7 +221,10 @@
         )
 
     def key_prefix(self) -> str:
-        """Return a prefix for keys that need no message, or nothing."""
+        """Return a prefix for idempotency keys that need no claim message.
+
+        Returns an empty string if this entry has none to offer.
+        """
         now = self.timers.now()
         owned = self.ownership.held_range(self.ownership.home, now)
         if owned is None or self.stopping:
@@ -224,18 +232,18 @@
         return key_prefix(self.ownership.home, owned.epoch, self.timers.now_ms())
 
     def handle(self, sender: LinkAddress, message: AnyMessage) -> None:
-        """Act on one message; one that comes before the start is lost."""
+        """Handle one message; a message received before the start is dropped."""
         if self.nursery is None:
             return
         match message:
             case TaskResult():
-                self._take_result(sender, message)
+                self._handle_task_result(sender, message)
             case AgentState():
-                self._take_state(sender, message)
+                self._handle_agent_state(sender, message)
             case AgentLoad():
-                self._take_load(sender, message)
+                self._handle_agent_load(sender, message)
             case Claim():
-                self._take_claim(sender, message)
+                self._handle_claim(sender, message)
             case Finished():
                 held = self.claims.record_outcome(message)
                 if message.id:
@@ -251,19 +259,19 @@
                 self.exchange.handle(sender, message)
 
     async def begin_stop(self) -> None:
-        """Take no new work; what runs is finished."""
+        """Accept no new work; running work continues."""
         self.stopping = True
 
     async def leave(self) -> None:
-        """Hand over what others may need, after the last work is done."""
+        """Flush the journal, release the lease and detach, once all work is done."""
         self.lease.end()
         with trio.move_on_after(self.options.lease_seconds):
             await self.journal.flush()
             await self.lease.release()
         self.agent_discovery.detach_all()
 
-    def _join_as(self, entry: EntryId) -> None:
-        """Make the parts that belong to one lease."""
+    def _create_lease_parts(self, entry: EntryId) -> None:
+        """Create the parts that belong to one lease."""
         options = self.options
         self.id = entry
         self.lease = Lease(
@@ -325,13 +333,17 @@
     async def _list_agents(self) -> bool:
         return await self.agent_discovery.watch()
 
-    def _take_manifest(self, version: ConfigVersion, manifest: Manifest) -> None:
+    def _handle_manifest(self, version: ConfigVersion, manifest: Manifest) -> None:
         self.closer.take_manifest(version, manifest)
         self.dispatcher.take_manifest(manifest)
         self.dispatcher.pump_all()
 
     def _peer_versions(self) -> dict[LinkAddress, ConfigVersion]:
-        """Return the other entries, also those that a long outage hides."""
+        """Return the configuration versions of other entries, by address.
+
+        Includes entries whose leases seem expired because of a long outage of the
+        platform.
+        """
         versions: dict[LinkAddress, ConfigVersion] = {}
         for row in self.view.unreleased_rows():
             address = LinkAddress(row.address)
@@ -340,32 +352,32 @@
                 versions[address] = max(ConfigVersion(row.config), known)
         return versions
 
-    def _entries(self) -> list[ProcessLocation]:
+    def _entry_locations(self) -> list[ProcessLocation]:
         rows = [row for row in self.view.unreleased_rows() if row.entry != self.id]
         others = [ProcessLocation(row.entry, row.zone) for row in rows]
         return [ProcessLocation(self.id, self.options.zone), *others]
 
-    def _queued(self) -> dict[str, int]:
+    def _queue_lengths(self) -> dict[str, int]:
         queues = self.dispatcher.queues
         return {service: len(queue) for service, queue in queues.items()}
 
     def _subscribe(self) -> None:
-        self.config.subscribe(self._take_manifest)
+        self.config.subscribe(self._handle_manifest)
         beat = self.options.heartbeat_seconds
         self.timers.every(beat, "lease renewal", self._renew_lease)
         self.timers.every(beat, "range watch", self._watch_ranges)
-        watch = AGENT_WATCH_PERIODS * beat
+        watch = AGENT_WATCH_HEARTBEATS * beat
         self.timers.every(watch, "agent watch", self.agent_discovery.watch)
-        self.timers.every(beat, "neighbours", self._tend_neighbours)
+        self.timers.every(beat, "neighbours", self._update_neighbours)
         self.timers.every(
-            ADJUST_SECONDS,
+            ATTACHMENT_LIMIT_UPDATE_SECONDS,
             "neighbour bound",
             self.agent_discovery.adjust_attachment_limit,
         )
         self.timers.every(CONFIG_POLL_SECONDS, "configuration poll", self.config.poll)
 
     async def _start(self) -> None:
-        """Do at once what else waits for the first period."""
+        """Run the first of some periodic calls without waiting for their period."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.config.poll)
             nursery.start_soon(self.agent_discovery.watch)
@@ -376,32 +388,34 @@
         if not self.stopping or self.lease.state is LeaseState.HELD:
             await self.lease.renew()
         if self.lease.state is LeaseState.LOST and not self.stopping:
-            self._rejoin()
+            self._replace_lost_lease()
 
-    def _rejoin(self) -> None:
-        """Start anew as another entry, after a lost lease; running work goes on."""
+    def _replace_lost_lease(self) -> None:
+        """Continue under a new identity after a lost lease; running work continues."""
         self.ledger.records.clear()
         self.journal.close()
-        self._join_as(EntryId(f"{self.options.name}-{self.rng.getrandbits(32):08x}"))
+        self._create_lease_parts(
+            EntryId(f"{self.options.name}-{self.rng.getrandbits(32):08x}")
+        )
         self.claimant.service = self.claims
         self.claimant.ownership = self.ownership
         self.agent_discovery.entry = self.id
 
     async def _watch_ranges(self) -> None:
-        async with self.range_watch:
+        async with self.range_watch_lock:
             await self.ownership.watch()
-            self._hear_demand()
+            self._update_demand()
             await self.takeover.watch()
             await self.takeover_cleanup.watch()
 
-    def _hear_demand(self) -> None:
-        """Take the teams' demand at the other entries, as the platform told last."""
+    def _update_demand(self) -> None:
+        """Update the teams' demand at other entries from their last read lease rows."""
         age = self.timers.now() - self.view.current_as_of
         if age < 2 * self.options.heartbeat_seconds:
             rows = [row for row in self.view.living_rows() if row.entry != self.id]
             self.dispatcher.quotas.update_other_demand([row.demand for row in rows])
 
-    def _take_claim(self, sender: LinkAddress, claim: Claim) -> None:
+    def _handle_claim(self, sender: LinkAddress, claim: Claim) -> None:
         if claim.write_ahead:
             self.nursery.start_soon(self._answer_claim, sender, claim)
             return
@@ -410,43 +424,43 @@
     async def _answer_claim(self, sender: LinkAddress, claim: Claim) -> None:
         self.mailer.post(sender, await self.claims.handle_claim(sender, claim))
 
-    async def _tend_neighbours(self) -> None:
+    async def _update_neighbours(self) -> None:
         await self.agent_discovery.update_attachments()
-        self.closer.check_all()
+        self.closer.sync_all()
 
-    def _take_state(self, sender: LinkAddress, state: AgentState) -> None:
+    def _handle_agent_state(self, sender: LinkAddress, state: AgentState) -> None:
         if self.directory.is_superseded(state.agent, sender):
             self.mailer.post(sender, Detach(self.id))
             return
         known = self.directory.by_address.get(sender)
         former_boot = known.boot if known else 0
-        view = self.directory.report(sender, state, self.timers.now())
+        view = self.directory.record_state(sender, state, self.timers.now())
         if former_boot and former_boot != state.boot:
-            self.nursery.start_soon(self._settle_restarted, view)
-        self.closer.check(view)
-        self._note_report(view)
+            self.nursery.start_soon(self._handle_agent_restart, view)
+        self.closer.sync_agent(view)
+        self._handle_report(view)
 
-    async def _settle_restarted(self, view: AgentView) -> None:
-        """Settle what a former process had; the new one refuses what it got first."""
+    async def _handle_agent_restart(self, view: AgentView) -> None:
+        """Settle the former process's tasks once its late starts have been refused."""
         await trio.sleep(RESTART_GRACE_SECONDS)
         self.dispatcher.handle_agent_restart(view)
 
-    def _take_result(self, sender: LinkAddress, result: TaskResult) -> None:
+    def _handle_task_result(self, sender: LinkAddress, result: TaskResult) -> None:
         load = result.load
         if load is not None:
             now = self.timers.now()
-            if not self.directory.report_load(sender, load, now):
+            if not self.directory.record_load(sender, load, now):
                 self.agent_discovery.request_full_state(sender)
         self.dispatcher.handle_task_result(result)
 
-    def _take_load(self, sender: LinkAddress, load: AgentLoad) -> None:
-        if self.directory.report_load(sender, load, self.timers.now()):
-            self._note_report(self.directory.by_address[sender])
+    def _handle_agent_load(self, sender: LinkAddress, load: AgentLoad) -> None:
+        if self.directory.record_load(sender, load, self.timers.now()):
+            self._handle_report(self.directory.by_address[sender])
         else:
             self.agent_discovery.request_full_state(sender)
 
-    def _note_report(self, view: AgentView) -> None:
-        if view.leaving and not view.busy():
-            # It waits for this before it ends: nothing of it is still on its way.
+    def _handle_report(self, view: AgentView) -> None:
+        if view.leaving and not view.awaits_results():
+            # The agent waits for this message before it stops; no result is in flight.
             self.mailer.post(view.address, Detach(self.id))
         self.dispatcher.handle_agent_report(view)
--- a/bergamotcourse/coordination/event_log.py
+++ b/bergamotcourse/coordination/event_log.py
@@ -1,10 +1,10 @@
-"""The log of decisions and beliefs: one event a line, for a sink to write."""
+"""The log of decisions and state changes: one event a line, written by a sink."""
 
 from collections.abc import Callable
 from typing import Any
 
 Sink = Callable[[str, dict[str, Any]], None]
-"""Takes the kind of an event and its fields; never blocks."""
+"""Called with the kind of an event and its fields; must not block."""
 
 
 def _ignore(_kind: str, _fields: dict[str, Any]) -> None:
@@ -12,10 +12,10 @@
 
 
 class EventLog:
-    """Hands events to a sink.
+    """Passes events to a sink.
 
     Attributes:
-        sink: Where events go; nowhere unless a daemon sets it.
+        sink: Receives the events; drops them unless a daemon sets it.
     """
 
     def __init__(self, sink: Sink = _ignore):
--- a/bergamotcourse/coordination/in_flight_tasks.py
+++ b/bergamotcourse/coordination/in_flight_tasks.py
@@ -41,7 +41,7 @@
         view.last_sent = now
         self.tasks[task.key] = task
         self.counts[service] = self.count(service) + 1
-        view.in_flight[service] = view.own(service) + 1
+        view.in_flight[service] = view.own_tasks(service) + 1
         if task.job:
             view.own_jobs[service] = view.own_jobs.get(service, 0) + 1
 
@@ -50,7 +50,7 @@
         service = task.submission.service
         del self.tasks[task.key]
         self.counts[service] -= 1
-        task.view.in_flight[service] = max(0, task.view.own(service) - 1)
+        task.view.in_flight[service] = max(0, task.view.own_tasks(service) - 1)
         if task.job:
             task.view.own_jobs[service] -= 1
 
@@ -69,7 +69,7 @@
         """
         for task in list(self.tasks.values()):
             overdue = now > task.submission.deadline + RESULT_GRACE_SECONDS
-            silent = now - task.view.last_heard > self.silent_seconds
+            silent = now - task.view.last_received_at > self.silent_seconds
             lost = silent and now - task.sent_at > self.silent_seconds
             if (overdue or lost) and not task.asked:
                 task.asked = True
--- a/bergamotcourse/coordination/membership.py
+++ b/bergamotcourse/coordination/membership.py
@@ -126,7 +126,7 @@
         for view in self.directory:
             if view.id in chosen:
                 self._attach(view)
-            elif view.attached and not view.busy():
+            elif view.attached and not view.awaits_results():
                 self._detach(view)
         self.chosen_agents = chosen
 
@@ -214,7 +214,7 @@
             usable = self.directory.health(view, now) is AgentHealth.USABLE
             for service, offer in view.offers.items():
                 demand = demands.setdefault(service, Demand())
-                demand.used += view.own(service)
+                demand.used += view.own_tasks(service)
                 if usable:
                     demand.free += max(0, offer.slots - view.load(service))
         for service, count in self.queued().items():
@@ -236,7 +236,7 @@
         self.mailer.post(view.address, message)
 
     def _attach_seconds(self, view: AgentView, periods: float, now: float) -> float:
-        silent_seconds = now - max(view.last_heard, view.attach_since)
+        silent_seconds = now - max(view.last_received_at, view.attach_since)
         retry_seconds = UNRESPONSIVE_RETRY_HEARTBEATS * self.heartbeat_seconds
         absent = not view.attached or silent_seconds > self.directory.silent_seconds
         if absent and silent_seconds < retry_seconds:
@@ -263,7 +263,7 @@
         now = self.timers.now()
         for agent, seen in list(self.row_renewals.items()):
             view = self.directory.views.get(agent)
-            last_heard = view.last_heard if view else 0.0
+            last_heard = view.last_received_at if view else 0.0
             if now - max(seen.at, last_heard) < EVICTION_SECONDS:
                 continue
             self._remove(agent)
--- a/bergamotcourse/coordination/result_batches.py
+++ b/bergamotcourse/coordination/result_batches.py
@@ -1,9 +1,9 @@
-"""Results of jobs that wait at an agent to share an envelope.
+"""Batching of job results at an agent.
 
-The answer of a job goes out whole, so one of its results is not awaited by itself. It
-is held while more of the entry's job tasks wait here: the entry needs no slot filled.
-At the end of a job, when the entry has no more to send, it is held a little for the
-others of the job that still run here.
+A job is answered as a whole, so nobody waits for a single one of its results. A result
+is held while more of the entry's job tasks wait at the agent, because the entry then
+need not fill the freed slot. At the end of a job, when the entry has no more tasks to
+send, a result is held for a short time for the other tasks of the job that still run.
 """
 
 from collections.abc import Callable
@@ -14,13 +14,14 @@
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.messages import TaskResult
 
-HOLD_SECONDS = 0.9
-"""The longest time that a result is held; under a heartbeat, which it replaces."""
+MAX_HOLD_SECONDS = 0.9
+"""Longest time that a result is held. Shorter than a heartbeat, which it replaces."""
 
-TAIL_HOLD_SECONDS = 0.2
-"""The same at the end of a job; until then the entry does not know the slot free."""
+JOB_END_HOLD_SECONDS = 0.2
+"""The same at the end of a job. Until the result arrives, the entry does not know that
+the slot is free."""
 
-MOST_HELD = 64
+MAX_HELD_RESULTS = 64
 
 
 @dataclass
@@ -31,11 +32,12 @@
 
 
 class ResultBatches:
-    """Holds results and sends them together.
+    """Holds results and sends them in batches.
 
     Attributes:
         send: Called with an entry and its results, in order.
-        nursery: Sends what was held long enough; without it nothing is held.
+        nursery: Runs the delayed sends; without it results are sent at once.
+        held: The results held, by entry.
     """
 
     def __init__(self, send: Callable[[LinkAddress, list[TaskResult]], None]):
@@ -44,12 +46,12 @@
         self.held: dict[LinkAddress, HeldResults] = {}
 
     def add(self, entry: LinkAddress, result: TaskResult, hold: float = 0.0) -> None:
-        """Take a result; send it, with those held, unless it is to be held.
+        """Add a result, and send it with those held unless it may be held itself.
 
         Args:
-            entry: Where it goes.
+            entry: Address of the entry.
             result: The result.
-            hold: Seconds for which it may be held.
+            hold: Seconds for which the result may be held; 0 to send at once.
         """
         if self.nursery is None:
             self.send(entry, [result])
@@ -62,11 +64,11 @@
             held = self.held[entry] = HeldResults()
             self.nursery.start_soon(self._send_later, entry, held, hold)
         held.results.append(result)
-        if not hold or len(held.results) >= MOST_HELD:
+        if not hold or len(held.results) >= MAX_HELD_RESULTS:
             self.flush(entry)
 
     def flush(self, entry: LinkAddress) -> None:
-        """Send what is held for an entry."""
+        """Send the results held for an entry."""
         held = self.held.pop(entry, None)
         if held is not None:
             self.send(entry, held.results)
--- a/bergamotcourse/coordination/routing.py
+++ b/bergamotcourse/coordination/routing.py
@@ -130,7 +130,9 @@
         if not self.ejector.ejections:
             return None
         for view in views:
-            if not view.own(service) and self.ejector.is_trial_due(view, service, now):
+            if not view.own_tasks(service) and self.ejector.is_trial_due(
+                view, service, now
+            ):
                 return view
         return None
 
--- a/bergamotcourse/coordination/sender.py
+++ b/bergamotcourse/coordination/sender.py
@@ -143,7 +143,7 @@
             ahead = self._max_ahead_tasks(
                 service, queue.jobs.size * slots / total, slots
             )
-            room = slots + ahead - view.own(service)
+            room = slots + ahead - view.own_tasks(service)
             if ahead < 1 or room < max(1, AHEAD_REFILL_SHARE * ahead):
                 continue
             for _ in range(room):
--- a/bergamotcourse/coordination/slot_calls.py
+++ b/bergamotcourse/coordination/slot_calls.py
@@ -1,49 +1,55 @@
-"""Entries that want to be told when a slot gets free at an agent.
+"""Requests of entries for a notice when a slot of an agent becomes free.
 
-An entry hears of a free slot by the result of its own task. The slots that the tasks of
-others leave are known to those others, who may have no use for them: such a slot is
-told to an entry that has tasks waiting, by one message.
+An entry learns of a free slot from the result of its own task. A slot freed by a task
+of another entry is known only to that entry, which may have no use for it. Such a slot
+is announced to one entry that has tasks waiting, by one message.
 """
 
 from bergamotcourse.ids import LinkAddress
 
-WANT_SECONDS = 0.25
-"""A wish is forgotten after so long: the entry's starts repeat it."""
+REQUEST_LIFETIME_SECONDS = 0.25
+"""A request expires after this time; the entry's starts repeat it."""
 
 
-class SlotCalls:
-    """The entries that wait, by service, those that wait longest first."""
+class SlotNoticeRequests:
+    """Pending requests by service, oldest first."""
 
     def __init__(self):
-        self.wanting: dict[tuple[str, LinkAddress], float] = {}
+        self.requested_at: dict[tuple[str, LinkAddress], float] = {}
 
-    def note(self, service: str, entry: LinkAddress, wants: bool, now: float) -> None:
-        """Take what a start says of its entry."""
+    def update(self, service: str, entry: LinkAddress, wants: bool, now: float) -> None:
+        """Add, keep or remove an entry's request, as its last start says."""
         key = (service, entry)
         if wants:
-            self.wanting[key] = now
+            self.requested_at[key] = now
         else:
-            self.wanting.pop(key, None)
+            self.requested_at.pop(key, None)
 
-    def next(self, service: str, told: LinkAddress, now: float) -> LinkAddress | None:
-        """Return the entry to tell of a free slot, once.
+    def pop_next(
+        self, service: str, notified: LinkAddress, now: float
+    ) -> LinkAddress | None:
+        """Remove the oldest request for a service and return its entry, if any.
 
         Args:
             service: The service whose slot is free.
-            told: The entry that hears of it by a result; if it has use for the slot,
-                no other is told.
-            now: Seconds.
+            notified: The entry that learns of the slot from a result. If it has a
+                request itself, it can use the slot, and no other entry is returned.
+            now: Time in seconds.
         """
-        self._forget(now)
-        if (service, told) in self.wanting:
+        self._expire_requests(now)
+        if (service, notified) in self.requested_at:
             return None
-        for key in self.wanting:
+        for key in self.requested_at:
             if key[0] == service:
-                del self.wanting[key]
+                del self.requested_at[key]
                 return key[1]
         return None
 
-    def _forget(self, now: float) -> None:
-        old = [key for key, at in self.wanting.items() if now - at > WANT_SECONDS]
+    def _expire_requests(self, now: float) -> None:
+        old = [
+            key
+            for key, at in self.requested_at.items()
+            if now - at > REQUEST_LIFETIME_SECONDS
+        ]
         for key in old:
-            del self.wanting[key]
+            del self.requested_at[key]
--- a/bergamotcourse/coordination/status.py
+++ b/bergamotcourse/coordination/status.py
@@ -1,4 +1,4 @@
-"""An entry's status, from what it knows already: no message is sent for it."""
+"""Status of an entry, taken from its local state without sending messages."""
 
 from collections import Counter
 from dataclasses import asdict
@@ -22,8 +22,8 @@
 )
 from bergamotcourse.state.lease_rows import HASHED_RANGES
 
-ROUNDED = 3
-"""Decimal places of times: milliseconds."""
+TIME_DECIMALS = 3
+"""Decimal places of times in seconds."""
 
 
 def entry_status(entry: Entry) -> EntryStatus:
@@ -45,7 +45,7 @@
 
 
 def entry_counters(entry: Entry) -> dict[str, int]:
-    """Return an entry's counts since its start, by name."""
+    """Return an entry's counters since its start, by name."""
     dispatch = asdict(entry.dispatcher.counters)
     outcomes = dispatch.pop("outcomes")
     claims = asdict(entry.claims.counters)
@@ -60,7 +60,7 @@
 
 
 def link_counters(mailer: Mailer) -> dict[str, int]:
-    """Return what a process sent and received, by name."""
+    """Return a process's counters of messages sent and received, by name."""
     counters = mailer.counters
     return {
         "link.messages_sent": sum(counters.sent.values()),
@@ -76,7 +76,7 @@
 
 
 def agents_by_health(status: EntryStatus) -> Counter[str]:
-    """Return how many agents an entry sees in each health."""
+    """Return the number of agents in an entry's status, by health."""
     return Counter(agent.health for agent in status.agents)
 
 
@@ -89,7 +89,7 @@
 def _lease(entry: Entry) -> LeaseStatus:
     lease = entry.lease
     left = max(0.0, lease.valid_until() - entry.timers.now())
-    return LeaseStatus(lease.state.value, round(left, ROUNDED), lease.successor)
+    return LeaseStatus(lease.state.value, round(left, TIME_DECIMALS), lease.successor)
 
 
 def _ranges(entry: Entry) -> RangeStatus:
@@ -111,10 +111,14 @@
 def _agent(entry: Entry, view: AgentView) -> AgentStatus:
     now = entry.timers.now()
     services = [
-        ServiceLoad(name, offer.slots, view.load(name), view.own(name))
+        ServiceLoad(name, offer.slots, view.load(name), view.own_tasks(name))
         for name, offer in sorted(view.offers.items())
     ]
-    heard = round(now - view.last_heard, ROUNDED) if view.last_heard else None
+    heard = (
+        round(now - view.last_received_at, TIME_DECIMALS)
+        if view.last_received_at
+        else None
+    )
     return AgentStatus(
         id=view.id,
         zone=view.zone,
--- a/bergamotcourse/coordination/task_probes.py
+++ b/bergamotcourse/coordination/task_probes.py
@@ -75,7 +75,7 @@
         )
         match reply:
             case Result(tag="ok", ok=answer) if answer.boot == task.boot:
-                task.view.last_heard = self.timers.now()
+                task.view.last_received_at = self.timers.now()
                 return self._read(task, answer)
             case _:
                 return ProbeUnanswered()
--- a/bergamotcourse/coordination/timers.py
+++ b/bergamotcourse/coordination/timers.py
@@ -1,7 +1,7 @@
-"""The timer service: the one place where parts ask for time.
+"""The timer service, the only source of time for the other parts.
 
-Parts subscribe to a period or wait for a delay. The service runs on trio's clock, so
-tests run it on a virtual one. Only monotonic time is used.
+Parts read the time here and subscribe calls to a period. The service runs on trio's
+clock, so that tests can run it on a virtual one. Only monotonic time is used.
 """
 
 import random
@@ -12,11 +12,11 @@
 import trio
 
 JITTER_SHARE = 0.1
-"""Periods are spread by this share, so that processes do not act in step."""
+"""Periods vary at random by up to this share, so that processes do not act in step."""
 
 
 def suspended_seconds() -> float:
-    """Return for how long the machine was suspended since it booted."""
+    """Return the seconds for which the machine was suspended since it booted."""
     booted = time.clock_gettime(time.CLOCK_BOOTTIME)
     return booted - time.clock_gettime(time.CLOCK_MONOTONIC)
 
@@ -27,7 +27,7 @@
 
     Attributes:
         period: Seconds between calls.
-        active: Set to false to end the subscription.
+        active: Set it to false to end the subscription.
     """
 
     name: str
@@ -37,10 +37,11 @@
 
 
 class Timers:
-    """Calls subscribers periodically and tells the time.
+    """Calls subscribers periodically and provides the time.
 
     Attributes:
-        rng: Seeded source of the jitter.
+        rng: Source of the jitter.
+        pending: Subscriptions made before the service runs.
     """
 
     def __init__(self, rng: random.Random | None = None):
@@ -53,10 +54,10 @@
         return trio.current_time()
 
     def lease_now(self) -> float:
-        """Return seconds on a clock that counts suspensions of the machine too.
+        """Return seconds on a clock that includes suspensions of the machine.
 
-        The monotonic clock stands still while a machine is suspended; a lease measured
-        on it would look valid after it has lapsed for everybody else.
+        The monotonic clock stops while a machine is suspended: a lease measured on it
+        would seem valid after it has expired for all other processes.
         """
         return self.now() + suspended_seconds()
 
@@ -67,7 +68,7 @@
     def every(
         self, period: float, name: str, call: Callable[[], Awaitable[None]]
     ) -> Subscription:
-        """Subscribe a call to a period in seconds."""
+        """Subscribe a call to a period in seconds; return the subscription."""
         subscription = Subscription(name, period, call)
         if self.nursery is None:
             self.pending.append(subscription)
@@ -76,7 +77,7 @@
         return subscription
 
     async def run(self) -> None:
-        """Serve all subscriptions until cancelled."""
+        """Run all subscriptions until cancelled."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             for subscription in self.pending:
--- a/bergamotcourse/coordination/closing.py
+++ b/bergamotcourse/coordination/upstream_closer.py
@@ -1,4 +1,4 @@
-"""Tells agents which of their upstreams the configuration in force closes."""
+"""Notifies agents of the upstreams that the configuration in force closes."""
 
 from bergamotcourse.coordination.agents import AgentDirectory, AgentView
 from bergamotcourse.coordination.permits import Permits
@@ -9,9 +9,10 @@
 
 
 class UpstreamCloser:
-    """Keeps agents told of their closed upstreams, and the directory of the rest.
+    """Keeps agents and the directory in line with the configuration in force.
 
-    An agent of which nothing is closed, and nothing was, gets no message.
+    Agents are sent their closed upstreams; the directory gets the permitted ones. An
+    agent without closed upstreams, now or before, gets no message.
     """
 
     def __init__(self, directory: AgentDirectory, mailer: Mailer):
@@ -19,17 +20,17 @@
         self.mailer = mailer
 
     def take_manifest(self, version: ConfigVersion, manifest: Manifest) -> None:
-        """Put a new configuration in force."""
-        self.directory.permit(Permits(version, manifest))
-        self.check_all()
+        """Apply a new configuration."""
+        self.directory.apply_permits(Permits(version, manifest))
+        self.sync_all()
 
-    def check_all(self) -> None:
-        """Tell all agents that say otherwise than the configuration."""
+    def sync_all(self) -> None:
+        """Notify all agents whose closed upstreams differ from the configuration."""
         for view in self.directory:
-            self.check(view)
+            self.sync_agent(view)
 
-    def check(self, view: AgentView) -> None:
-        """Tell an agent what is closed, if it says otherwise."""
+    def sync_agent(self, view: AgentView) -> None:
+        """Notify an agent if its closed upstreams differ from the configuration."""
         permits, state = self.directory.permits, view.state
         if permits is None or state is None or not view.attached:
             return
--- a/bergamotcourse/coordination/upstreams.py
+++ b/bergamotcourse/coordination/upstreams.py
@@ -1,6 +1,6 @@
-"""The upstreams that announced themselves to an agent, and their limits.
+"""The upstreams announced to an agent, and their limits.
 
-Only the agent enforces an upstream's slots and connections.
+An upstream's slots and connections are enforced by its agent only.
 """
 
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 
 class UpstreamCaller(Protocol):
-    """What an agent needs of an HTTP client."""
+    """The HTTP client of an upstream, as an agent uses it."""
 
     async def request(
         self, request: HttpRequest, timeout: float
@@ -30,10 +30,12 @@
     """One announced upstream.
 
     Attributes:
-        slots: Tasks it runs at the same time.
-        renewed: When it last announced itself, in seconds on the agent's clock.
-        leaving: It finishes what it runs and gets nothing new.
-        closed: The same, as long as the configuration says so.
+        slots: Number of tasks that it runs at the same time.
+        connections: Limit of connections to it.
+        renewed: Time of its last announcement, in seconds on the agent's clock.
+        running: Number of tasks that it runs.
+        leaving: Whether it finishes its running tasks and gets no new ones.
+        closed: Whether the configuration closes it: as ``leaving``, but revocable.
     """
 
     id: UpstreamId
@@ -49,8 +51,8 @@
     closed: bool = False
 
     @property
-    def free(self) -> int:
-        """Slots that may be taken now."""
+    def free_slots(self) -> int:
+        """Number of slots that can be acquired now."""
         if self.leaving or self.closed:
             return 0
         return max(0, min(self.slots, self.connections) - self.running)
@@ -60,8 +62,9 @@
     """All upstreams of one agent.
 
     Attributes:
-        lease_seconds: An upstream that does not renew for so long gets nothing new.
-        closed: Names of those that the configuration gives nothing new.
+        lease_seconds: Time without an announcement after which an upstream gets no new
+            tasks.
+        closed: Names of the upstreams that the configuration closes.
     """
 
     def __init__(self, timers: Timers, lease_seconds: float):
@@ -71,7 +74,7 @@
         self.closed: set[UpstreamId] = set()
 
     def announce(self, upstream: Upstream) -> Upstream:
-        """Add an upstream or renew the one of that name; return the one kept."""
+        """Add an upstream or renew the known one of that name; return the one kept."""
         known = self.upstreams.get(upstream.id)
         if known is None:
             upstream.closed = upstream.id in self.closed
@@ -84,22 +87,25 @@
         known.leaving = False
         return known
 
-    def leave(self, upstream_id: UpstreamId) -> bool:
-        """Give an upstream nothing new; return whether it was known."""
+    def mark_leaving(self, upstream_id: UpstreamId) -> bool:
+        """Start no new tasks on an upstream; return whether it was known."""
         upstream = self.upstreams.get(upstream_id)
         if upstream is None:
             return False
         upstream.leaving = True
         return True
 
-    def close(self, names: set[UpstreamId]) -> None:
-        """Give the named upstreams nothing new, and the others again."""
+    def set_closed(self, names: set[UpstreamId]) -> None:
+        """Close the named upstreams to new tasks and open all others."""
         self.closed = names
         for upstream in self.upstreams.values():
             upstream.closed = upstream.id in names
 
     def expire(self) -> list[Upstream]:
-        """Mark those that did not renew as leaving; drop and return the idle ones."""
+        """Mark upstreams with an expired lease as leaving.
+
+        Removes the idle ones of all leaving upstreams and returns them.
+        """
         now = self.timers.now()
         for upstream in self.upstreams.values():
             if now - upstream.renewed > self.lease_seconds:
@@ -110,11 +116,11 @@
         return gone
 
     def slots(self, service: str) -> int:
-        """Return the slots that serve a service."""
+        """Return the number of slots that serve a service."""
         return sum(u.slots for u in self.serving(service))
 
     def serving(self, service: str) -> list[Upstream]:
-        """Return the upstreams that take new work of a service."""
+        """Return the upstreams that accept new tasks of a service."""
         return [
             u
             for u in self.upstreams.values()
@@ -122,14 +128,17 @@
         ]
 
     def services(self) -> list[str]:
-        """Return the services that are served now."""
+        """Return the services with an upstream that is not leaving."""
         return sorted({u.service for u in self.upstreams.values() if not u.leaving})
 
-    def take(self, service: str) -> Upstream | None:
-        """Take a slot of the emptiest upstream of a service, if one is free."""
-        free = [u for u in self.serving(service) if u.free]
+    def acquire_slot(self, service: str) -> Upstream | None:
+        """Acquire a slot of the upstream with the most free slots of a service, if any.
+
+        The caller must decrement ``running`` to release the slot.
+        """
+        free = [u for u in self.serving(service) if u.free_slots]
         if not free:
             return None
-        upstream = max(free, key=lambda u: u.free)
+        upstream = max(free, key=lambda u: u.free_slots)
         upstream.running += 1
         return upstream
--- a/bergamotcourse/daemons/agent.py
+++ b/bergamotcourse/daemons/agent.py
@@ -5,7 +5,7 @@
 import eliot
 import trio
 
-from bergamotcourse.coordination.agent import Agent, AgentLimits, AgentPlace
+from bergamotcourse.coordination.agent import Agent, AgentLimits, AgentLocation
 from bergamotcourse.coordination.agent_tracing import AgentTracer
 from bergamotcourse.coordination.epoch_reader import read_epochs
 from bergamotcourse.coordination.membership import AgentRegistration
@@ -42,7 +42,7 @@
     platform = PlatformClient.connect(
         settings.platform.host, settings.platform.port, settings.name
     )
-    place = AgentPlace(
+    place = AgentLocation(
         AgentId(settings.name), settings.zone, settings.rack, settings.worker
     )
     agent = Agent(place, agent_limits(settings), mailer, timers, rng)
@@ -74,19 +74,19 @@
             if registration.registered and not agent.start_log.opened:
                 await read_epochs(platform, agent.start_log)
             if registration.replaced and not agent.leaving:
-                eliot.log_message("agent:replaced", agent=agent.place.id)
+                eliot.log_message("agent:replaced", agent=agent.location.id)
                 agent.begin_leaving()
 
         def is_idle() -> bool:
-            return not agent.runner.busy()
+            return not agent.runner.task_count()
 
         async def stop() -> None:
-            eliot.log_message("agent:stopping", agent=agent.place.id)
+            eliot.log_message("agent:stopping", agent=agent.location.id)
             agent.begin_leaving()
             if not await wait_until(is_idle, settings.drain_seconds):
                 give_up(agent)
                 await wait_until(is_idle, LAST_RESULTS_SECONDS)
-            agent.tell_all()
+            agent.report_to_all()
             await wait_until(lambda: not agent.attachments, LAST_RESULTS_SECONDS)
             with trio.move_on_after(REGISTRATION_SECONDS):
                 await registration.leave()
@@ -99,7 +99,7 @@
         nursery.start_soon(register)
         eliot.log_message(
             "agent:open",
-            agent=agent.place.id,
+            agent=agent.location.id,
             http=server.port,
             link=mailer.link.address,
         )
@@ -109,14 +109,14 @@
 
 def give_up(agent: Agent) -> None:
     """Cancel all tasks, so that their entries are told an outcome."""
-    eliot.log_message("agent:gave_up_waiting", agent=agent.place.id)
+    eliot.log_message("agent:gave_up_waiting", agent=agent.location.id)
     for submission, index in list(agent.runner.tasks):
         agent.runner.cancel(submission, index)
 
 
 def agent_row(agent: Agent, address: str) -> AgentRow:
     """Return the row by which entries find an agent."""
-    place = agent.place
+    place = agent.location
     return AgentRow(place.id, address, place.zone, place.rack, place.worker, agent.boot)
 
 
--- a/bergamotcourse/daemons/agent_api.py
+++ b/bergamotcourse/daemons/agent_api.py
@@ -89,7 +89,7 @@
         return Upstream(
             id=upstream_id,
             service=ServiceName(announced.service),
-            zone=ZoneName(announced.zone or self.agent.place.zone),
+            zone=ZoneName(announced.zone or self.agent.location.zone),
             release=announced.release,
             slots=announced.slots,
             connections=announced.connections,
@@ -102,7 +102,7 @@
         if upstream is None:
             detail = f"no upstream {upstream_id} is announced"
             return plain_problem(HTTPStatus.NOT_FOUND, detail)
-        self.agent.upstream_leaves(upstream)
+        self.agent.mark_upstream_leaving(upstream)
         return HttpResponse(HTTPStatus.ACCEPTED)
 
 
--- a/bergamotcourse/daemons/caller.py
+++ b/bergamotcourse/daemons/caller.py
@@ -89,11 +89,11 @@
 
     @contextmanager
     def _traced(self, submission: Submission) -> Iterator[None]:
-        self.entry.tracer.begin(submission)
+        self.entry.tracer.begin_trace(submission)
         try:
             yield
         finally:
-            self.entry.tracer.end(submission)
+            self.entry.tracer.end_trace(submission)
 
     def begin_keyed(self, submission: Submission, key: str) -> None:
         """Run a submission under its key that is waited for later."""
--- a/bergamotcourse/daemons/metric_samples.py
+++ b/bergamotcourse/daemons/metric_samples.py
@@ -2,7 +2,7 @@
 
 from bergamotcourse.coordination.agent import Agent
 from bergamotcourse.coordination.entry import Entry
-from bergamotcourse.coordination.runner import RunningTask
+from bergamotcourse.coordination.runner import AdmittedTask
 from bergamotcourse.coordination.status import (
     agents_by_health,
     entry_status,
@@ -51,7 +51,7 @@
         part = metric_part(service)
         gauges[f"slots.{part}"] = agent.upstreams.slots(service)
         gauges[f"running.{part}"] = agent.runner.running.get(service, 0)
-        gauges[f"waiting.{part}"] = agent.runner.waiting(service)
+        gauges[f"waiting.{part}"] = agent.runner.waiting_count(service)
     return Sample(counters | link_counters(agent.mailer), gauges)
 
 
@@ -70,7 +70,7 @@
     """Note the times of each task that ran, beside what is done with it."""
     inner = agent.on_finished
 
-    def note(task: RunningTask, result: TaskResult) -> None:
+    def note(task: AdmittedTask, result: TaskResult) -> None:
         _add_task(timings, result)
         inner(task, result)
 
--- a/bergamotcourse/scenarios/faults.py
+++ b/bergamotcourse/scenarios/faults.py
@@ -117,7 +117,7 @@
         self._note_leaving(name)
         agent.upstream.leaving = True
         for upstream in list(agent.agent.upstreams.upstreams.values()):
-            agent.agent.upstream_leaves(upstream)
+            agent.agent.mark_upstream_leaving(upstream)
 
     def _note_leaving(self, name: str) -> None:
         self.leaving_since[name] = trio.current_time()
--- a/bergamotcourse/tests/coordination/policy_parts.py
+++ b/bergamotcourse/tests/coordination/policy_parts.py
@@ -36,7 +36,7 @@
     upstream = UpstreamOffer(f"up-{number}", SERVICE, "", "", slots, False)
     state = AgentState(name, 1, zone, "", "", 1 << 40, False, [offer], [upstream], 0, 1)
     directory.add(AgentId(name), address, zone)
-    return directory.report(address, state, at)
+    return directory.record_state(address, state, at)
 
 
 def set_health(view, run_ms=300, failing=0, ended=10):
--- a/bergamotcourse/tests/coordination/test_admission.py
+++ b/bergamotcourse/tests/coordination/test_admission.py
@@ -41,7 +41,9 @@
 class TestUnservable:
     def test_service_without_rule_is_refused_permanently(self):
         admission = make_admission()
-        admission.directory.permit(Permits(ConfigVersion(1), Manifest(release="r")))
+        admission.directory.apply_permits(
+            Permits(ConfigVersion(1), Manifest(release="r"))
+        )
         refusal = admission.evaluate(make_submission(), make_backlog(), NOW)
         assert "permits no upstream" in refusal.detail
         assert refusal.retry_after == 0
@@ -50,7 +52,7 @@
         admission = make_admission()
         rule = UpstreamRule(name="all", services=[SERVICE])
         manifest = Manifest(release="r", upstreams=[rule])
-        admission.directory.permit(Permits(ConfigVersion(1), manifest))
+        admission.directory.apply_permits(Permits(ConfigVersion(1), manifest))
         none = make_backlog(slots=0, in_flight=0)
         assert admission.evaluate(make_submission(), none, NOW) is None
         later = NOW + UPSTREAM_ABSENCE_GRACE_SECONDS
--- a/bergamotcourse/tests/coordination/test_agent_discovery.py
+++ b/bergamotcourse/tests/coordination/test_agent_discovery.py
@@ -66,7 +66,7 @@
             leaving=False, offers=[Offer(service, 8, running, 0, 0)], upstreams=[],
             closed_version=0, number=1,
         )  # fmt: skip
-        self.directory.report(f"tcp://{name}", state, trio.current_time())
+        self.directory.record_state(f"tcp://{name}", state, trio.current_time())
 
     async def has_row(self, name):
         return (await self.platform.get([agent_key(name)])).ok[0].value is not None
--- a/bergamotcourse/tests/coordination/test_permits.py
+++ b/bergamotcourse/tests/coordination/test_permits.py
@@ -4,11 +4,11 @@
 import trio
 
 from bergamotcourse.coordination.agent import Agent, AgentLimits
-from bergamotcourse.coordination.agent_reports import AgentPlace
+from bergamotcourse.coordination.agent_reports import AgentLocation
 from bergamotcourse.coordination.agents import AgentDirectory
-from bergamotcourse.coordination.closing import UpstreamCloser
 from bergamotcourse.coordination.permits import Permits
 from bergamotcourse.coordination.timers import Timers
+from bergamotcourse.coordination.upstream_closer import UpstreamCloser
 from bergamotcourse.coordination.upstreams import Upstream
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.messages import AgentLoad, AgentState, Attach
@@ -54,7 +54,7 @@
         self.directory = AgentDirectory(3.0)
         self.closer = UpstreamCloser(self.directory, self.wire)
         timers = Timers(random.Random(1))
-        place = AgentPlace("agent-1", "zone-a", "rack-1", "worker-1")
+        place = AgentLocation("agent-1", "zone-a", "rack-1", "worker-1")
         self.agent = Agent(place, AgentLimits(), self.wire, timers, random.Random(1))
         self.wire.handlers = {ENTRY: self.handle_at_entry, AGENT: self.handle_at_agent}
         for name in ("voting-1", "voting-2"):
@@ -69,9 +69,9 @@
     def handle_at_entry(self, message):
         match message:
             case AgentState():
-                self.closer.check(self.directory.report(AGENT, message, 0.0))
+                self.closer.sync_agent(self.directory.record_state(AGENT, message, 0.0))
             case AgentLoad():
-                assert self.directory.report_load(AGENT, message, 0.0)
+                assert self.directory.record_load(AGENT, message, 0.0)
 
     def apply(self, version, content):
         self.closer.take_manifest(version, content)
@@ -173,7 +173,7 @@
             pair.apply(2, manifest((DrainKind.WORKER, "worker-1")))
             assert pair.open
             pair.wire.lost = False
-            pair.closer.check_all()
+            pair.closer.sync_all()
             assert pair.open == []
 
         run_pair(check)
@@ -183,8 +183,10 @@
             pair.apply(2, manifest((DrainKind.UPSTREAM, "voting-1")))
             behind = UpstreamCloser(AgentDirectory(3.0), pair.wire)
             behind.take_manifest(1, manifest())
-            behind.check(
-                behind.directory.report(AGENT, pair.agent.reports.state(ENTRY), 0.0)
+            behind.sync_agent(
+                behind.directory.record_state(
+                    AGENT, pair.agent.reports.state(ENTRY), 0.0
+                )
             )
             assert pair.open == ["voting-2"]
 
@@ -194,7 +196,7 @@
         def check(pair):
             pair.apply(2, manifest((DrainKind.UPSTREAM, "voting-1")))
             upstreams = pair.agent.upstreams
-            upstreams.leave("voting-1")
+            upstreams.mark_leaving("voting-1")
             upstreams.expire()
             again = Upstream("voting-1", "voting", "zone-a", "r1", 8, 64, None, 0.0)
             pair.agent.announce(again)
@@ -207,7 +209,7 @@
     def test_unchanged_state_is_followed_by_load_only(self):
         def check(pair):
             pair.wire.sent.clear()
-            pair.agent.reports.tell(ENTRY)
+            pair.agent.reports.report_to(ENTRY)
             assert [type(one) for one in pair.wire.sent] == [AgentLoad]
 
         run_pair(check)
@@ -226,10 +228,10 @@
         def check(pair):
             token = pair.agent.reports.state(ENTRY).token
             load = AgentLoad(9, token, [(0, 0, 0, 0)], [])
-            assert not pair.directory.report_load(AGENT, load, 0.0)
+            assert not pair.directory.record_load(AGENT, load, 0.0)
             number = pair.agent.reports.number
             other_boot = AgentLoad(number, 7 << 40, [(0, 0, 0, 0)], [])
-            assert not pair.directory.report_load(AGENT, other_boot, 0.0)
+            assert not pair.directory.record_load(AGENT, other_boot, 0.0)
 
         run_pair(check)
 
@@ -249,9 +251,9 @@
     def test_expiry_of_busy_upstream_is_reported_at_once(self):
         async def main():
             pair = Pair()
-            busy = pair.agent.upstreams.take("voting")
+            busy = pair.agent.upstreams.acquire_slot("voting")
             await trio.sleep(6)
-            await pair.agent._heartbeat()
+            await pair.agent._send_heartbeats()
             assert busy.running == 1
             assert pair.slots == 0
 
--- a/bergamotcourse/tests/coordination/test_result_batches.py
+++ b/bergamotcourse/tests/coordination/test_result_batches.py
@@ -1,6 +1,6 @@
 import trio
 
-from bergamotcourse.coordination.result_batches import MOST_HELD, ResultBatches
+from bergamotcourse.coordination.result_batches import MAX_HELD_RESULTS, ResultBatches
 from bergamotcourse.tests.configs import run
 
 ENTRY = "tcp://entry-1"
@@ -21,7 +21,7 @@
 
 
 class TestResultBatches:
-    def test_results_to_hold_go_out_together_after_their_time(self):
+    def test_held_results_are_sent_in_one_batch_after_hold_time(self):
         async def script(batches):
             batches.add(ENTRY, 1, hold=0.5)
             await trio.sleep(0.4)
@@ -30,7 +30,7 @@
 
         assert collect(script) == [[1, 2]]
 
-    def test_one_that_may_not_wait_takes_the_others_with_it(self):
+    def test_result_without_hold_flushes_held_results(self):
         async def script(batches):
             batches.add(ENTRY, 1, hold=0.5)
             batches.add(ENTRY, 2)
@@ -41,9 +41,9 @@
 
         assert collect(script) == [[1, 2], [3, 4]]
 
-    def test_only_so_many_are_held(self):
+    def test_full_batch_is_sent_before_hold_time(self):
         async def script(batches):
-            for number in range(MOST_HELD):
+            for number in range(MAX_HELD_RESULTS):
                 batches.add(ENTRY, number, hold=10)
 
-        assert collect(script) == [list(range(MOST_HELD))]
+        assert collect(script) == [list(range(MAX_HELD_RESULTS))]
--- a/bergamotcourse/tests/coordination/test_slot_calls.py
+++ b/bergamotcourse/tests/coordination/test_slot_calls.py
@@ -1,30 +1,36 @@
-from bergamotcourse.coordination.slot_calls import WANT_SECONDS, SlotCalls
+from bergamotcourse.coordination.slot_calls import (
+    REQUEST_LIFETIME_SECONDS,
+    SlotNoticeRequests,
+)
 
 NOW = 100.0
 
 
-class TestSlotCalls:
-    def test_the_entry_that_waits_longest_is_told_once(self):
-        calls = SlotCalls()
-        calls.note("voting", "a", True, NOW)
-        calls.note("voting", "b", True, NOW)
-        told = [calls.next("voting", "c", NOW) for _ in range(3)]
-        assert told == ["a", "b", None]
+class TestSlotNoticeRequests:
+    def test_oldest_request_is_returned_first_and_only_once(self):
+        notices = SlotNoticeRequests()
+        notices.update("voting", "a", True, NOW)
+        notices.update("voting", "b", True, NOW)
+        returned = [notices.pop_next("voting", "c", NOW) for _ in range(3)]
+        assert returned == ["a", "b", None]
 
-    def test_none_is_told_of_a_slot_that_its_user_fills_itself(self):
-        calls = SlotCalls()
+    def test_no_entry_is_notified_if_entry_of_ended_task_has_request(self):
+        notices = SlotNoticeRequests()
         for entry in "ab":
-            calls.note("voting", entry, True, NOW)
-        assert calls.next("voting", "b", NOW) is None
+            notices.update("voting", entry, True, NOW)
+        assert notices.pop_next("voting", "b", NOW) is None
 
-    def test_a_wish_ends_by_a_start_without_it_and_by_time(self):
-        calls = SlotCalls()
-        calls.note("voting", "a", True, NOW)
-        calls.note("voting", "a", False, NOW)
-        calls.note("voting", "b", True, NOW)
-        assert calls.next("voting", "c", NOW + 1.1 * WANT_SECONDS) is None
+    def test_request_is_withdrawn_by_later_start_and_expires(self):
+        notices = SlotNoticeRequests()
+        notices.update("voting", "a", True, NOW)
+        notices.update("voting", "a", False, NOW)
+        notices.update("voting", "b", True, NOW)
+        assert (
+            notices.pop_next("voting", "c", NOW + 1.1 * REQUEST_LIFETIME_SECONDS)
+            is None
+        )
 
-    def test_services_are_apart(self):
-        calls = SlotCalls()
-        calls.note("voting", "a", True, NOW)
-        assert calls.next("tally", "c", NOW) is None
+    def test_request_for_other_service_is_not_returned(self):
+        notices = SlotNoticeRequests()
+        notices.update("voting", "a", True, NOW)
+        assert notices.pop_next("tally", "c", NOW) is None
--- a/bergamotcourse/tests/coordination/test_task_health.py
+++ b/bergamotcourse/tests/coordination/test_task_health.py
@@ -8,35 +8,35 @@
 
 
 class TestTaskHealth:
-    def test_nothing_is_known_at_first(self):
+    def test_report_is_zero_before_any_task(self):
         assert TaskHealth().report("voting") == Health(0, 0, 0)
 
-    def test_the_usual_run_time_is_hardly_moved_by_a_long_task(self):
+    def test_single_long_task_hardly_changes_typical_run_time(self):
         health, rng = TaskHealth(), random.Random(1)
         for _ in range(50):
-            health.done("voting", rng.uniform(0.2, 0.4))
-        health.done("voting", 5.0)
+            health.record_done("voting", rng.uniform(0.2, 0.4))
+        health.record_done("voting", 5.0)
         assert health.report("voting").run_ms < 600
 
-    def test_three_failures_in_a_row_are_enough_to_eject(self):
+    def test_three_consecutive_failures_reach_ejection_threshold(self):
         health = TaskHealth()
         for _ in range(50):
-            health.done("voting", 0.3)
+            health.record_done("voting", 0.3)
         for _ in range(3):
             assert health.report("voting").failing < FAILING_PERCENT
-            health.failed("voting")
+            health.record_failed("voting")
         assert health.report("voting").failing >= FAILING_PERCENT
 
-    def test_a_slow_worker_shows_after_a_few_tasks(self):
+    def test_slow_worker_is_visible_after_six_tasks(self):
         health = TaskHealth()
         for seconds in [0.3] * 50 + [3.0] * 6:
-            health.done("voting", seconds)
+            health.record_done("voting", seconds)
         assert health.report("voting").run_ms > 3 * 300
 
-    def test_the_count_fits_its_bits(self):
+    def test_ended_count_wraps_at_sixteen_bits(self):
         health = TaskHealth()
         for _ in range(3):
-            health.failed("voting")
+            health.record_failed("voting")
         health.services["voting"].ended = COUNT_MASK
-        health.failed("voting")
+        health.record_failed("voting")
         assert health.report("voting").ended == pytest.approx(0)
--- a/bergamotcourse/tests/coordination/test_tracing.py
+++ b/bergamotcourse/tests/coordination/test_tracing.py
@@ -26,14 +26,14 @@
 
 
 def run_requests(requests, share):
-    """Answer requests on a fleet; return the headers that the upstream got."""
+    """Send requests to a fleet; return the headers that the upstream received."""
     got = []
 
     async def main():
         async with trio.open_nursery() as nursery:
             fleet = VirtualFleet(nursery, 1, FleetShape(entries=1, agents=1))
             await fleet.start()
-            fleet.entries["entry-1"].entry.tracer.share = share
+            fleet.entries["entry-1"].entry.tracer.sample_share = share
             AgentTracer(fleet.agents["agent-1"].agent)
             upstream = fleet.upstreams["agent-1"]
             handle = upstream.handle
@@ -68,7 +68,7 @@
 
 
 class TestTracing:
-    def test_one_action_from_the_caller_to_the_upstream(self, lines):
+    def test_trace_id_of_caller_spans_entry_agent_and_upstream(self, lines):
         (got,) = run_requests([request(traceparent=PARENT, idempotency_key="k")], 1.0)
         assert got["traceparent"] == PARENT
         assert steps(lines, TRACE) == [
@@ -82,25 +82,25 @@
         ]
 
     @pytest.mark.parametrize("given", ["", "nonsense", f"00-{'0' * 32}-{'1' * 16}-01"])
-    def test_a_request_without_a_trace_gets_one(self, lines, given):
+    def test_request_without_valid_trace_id_gets_new_one(self, lines, given):
         (got,) = run_requests([request(traceparent=given)], 1.0)
         made = got["traceparent"].split("-")[1]
         assert made not in ("", "0" * 32)
         assert steps(lines, made)[0] == "entry:request started"
 
-    def test_what_is_not_sampled_is_not_logged(self, lines):
+    def test_unsampled_request_is_not_logged(self, lines):
         (got,) = run_requests([request(traceparent=PARENT)], 0.0)
         assert got["traceparent"] == PARENT
         assert steps(lines, TRACE) == []
 
-    def test_failures_are_logged_in_any_case(self, lines):
+    def test_failure_of_unsampled_request_is_logged(self, lines):
         run_requests([request("/s/voting/cast?status=500")], 0.0)
         names = [line.get("message_type") for line in lines]
         assert names.count("entry:result") == names.count("agent:result") == 1
 
 
 class TestTraceCommand:
-    def test_puts_the_lines_of_several_logs_in_order(self, lines, tmp_path, capsys):
+    def test_lines_of_several_logs_are_merged_in_order(self, lines, tmp_path, capsys):
         run_requests([request(traceparent=PARENT), request()], 1.0)
         files = []
         for name in ("entry", "agent"):
--- a/bergamotcourse/tests/virtual/test_membership.py
+++ b/bergamotcourse/tests/virtual/test_membership.py
@@ -187,7 +187,7 @@
             async def lose_zone():
                 await trio.sleep(2)
                 for name, process in fleet.agents.items():
-                    if process.agent.place.zone == "zone-2":
+                    if process.agent.location.zone == "zone-2":
                         fleet.network.cut_all(process.address)
                         assert name in attached(fleet, "entry-1")
                 await trio.sleep(6)
--- a/bergamotcourse/tests/virtual/test_policy.py
+++ b/bergamotcourse/tests/virtual/test_policy.py
@@ -154,7 +154,9 @@
             await trio.sleep(0.5)
             assert sent(fleet, "Cancel") == len(fleet.agents)
             assert sent(fleet, "TaskResult") == results
-            assert not any(agent.agent.runner.busy() for agent in fleet.agents.values())
+            assert not any(
+                agent.agent.runner.task_count() for agent in fleet.agents.values()
+            )
 
         run_fleet(main, manifest=make_manifest())
 
@@ -256,7 +258,7 @@
             for process in fleet.agents.values():
                 process.upstream.leaving = True
                 for one in list(process.agent.upstreams.upstreams.values()):
-                    process.agent.upstream_leaves(one)
+                    process.agent.mark_upstream_leaving(one)
             async with trio.open_nursery() as nursery:
                 callers = Callers(fleet, nursery)
                 await trio.sleep(0.1)
--- a/bergamotcourse/virtual/fleet.py
+++ b/bergamotcourse/virtual/fleet.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from bergamotcourse.coordination.agent import AgentLimits, AgentPlace
+from bergamotcourse.coordination.agent import AgentLimits, AgentLocation
 from bergamotcourse.coordination.config_store import apply
 from bergamotcourse.coordination.entry import EntryOptions
 from bergamotcourse.coordination.routing import RoutingPolicy
@@ -109,7 +109,7 @@
     def start_agent(self, name: str) -> VirtualAgent:
         """Start an agent and its upstream, or start them anew after a kill."""
         number = int(name.rpartition("-")[2])
-        place = AgentPlace(
+        place = AgentLocation(
             AgentId(name),
             ZoneName(f"zone-{(number - 1) % self.shape.zones + 1}"),
             RackName(f"rack-{(number - 1) // self.shape.workers_in_rack + 1}"),
--- a/bergamotcourse/virtual/processes.py
+++ b/bergamotcourse/virtual/processes.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from bergamotcourse.coordination.agent import Agent, AgentLimits, AgentPlace
+from bergamotcourse.coordination.agent import Agent, AgentLimits, AgentLocation
 from bergamotcourse.coordination.entry import Entry, EntryOptions, WallClock
 from bergamotcourse.coordination.epoch_reader import read_epochs
 from bergamotcourse.coordination.membership import AgentRegistration
@@ -112,7 +112,7 @@
 
     def __init__(
         self,
-        place: AgentPlace,
+        place: AgentLocation,
         limits: AgentLimits,
         upstream: StandInUpstream,
         around: Surroundings,
@@ -135,9 +135,9 @@
         """Stop as planned: finish what runs, take nothing new, leave."""
         agent = self.agent
         agent.begin_leaving()
-        while agent.runner.busy():
+        while agent.runner.task_count():
             await trio.sleep(POLL_SECONDS)
-        agent.tell_all()
+        agent.report_to_all()
         with trio.move_on_after(LAST_MESSAGES_SECONDS):
             while agent.attachments:
                 await trio.sleep(POLL_SECONDS)
@@ -157,7 +157,7 @@
             Upstream(
                 id=UpstreamId(stand_in.name),
                 service=ServiceName(stand_in.service),
-                zone=self.agent.place.zone,
+                zone=self.agent.location.zone,
                 release=self.upstream.release,
                 slots=stand_in.slots,
                 connections=stand_in.connections,
