--- a/bergamotcourse/coordination/agent.py
+++ b/bergamotcourse/coordination/agent.py
@@ -179,8 +179,8 @@
                 for one in cancelled:
                     for index in one.indices:
                         self.runner.cancel(one.submission, index)
-            case Attach(entry=entry, has=has):
-                self.reports.attach(entry, sender, has)
+            case Attach(entry=entry, known_state_number=known_state_number):
+                self.reports.attach(entry, sender, known_state_number)
             case Detach():
                 self.reports.detach(sender)
             case CloseUpstreams(version=version, upstreams=names):
@@ -278,15 +278,17 @@
 
     def _admit_task(self, sender: LinkAddress, start: Start) -> None:
         now = self.timers.now()
-        self.slot_notices.update(start.service, sender, start.wants, now)
+        self.slot_notices.update(start.service, sender, start.wants_slots, now)
         if start.job:
-            self.has_more_job_tasks[(sender, start.service)] = start.more
+            self.has_more_job_tasks[(sender, start.service)] = start.more_job_tasks
         refusal = self._refusal_reason(start)
-        full = refusal is None and self._is_full(start)
-        if refusal is not None or full:
+        no_free_slot = refusal is None and self._is_full(start)
+        if refusal is not None or no_free_slot:
             # The start was admitted first, so that the log recognises a late duplicate.
             self.start_log.withdraw(start.submission, start.index)
-            self._refuse(sender, start, refusal or "no slot is free", full=full)
+            self._refuse(
+                sender, start, refusal or "no slot is free", no_free_slot=no_free_slot
+            )
             return
         self.counters.started += 1
         deadline = now + start.timeout_ms / 1000
@@ -357,9 +359,9 @@
             )
             for submission, s in self.start_log.started_in(ranges)
         ]
-        up_ms, first = self._start_log_coverage(now_ms)
+        uptime_ms, first = self._start_log_coverage(now_ms)
         reply = StartLogReply(
-            fence.id, self.location.id, self.boot, up_ms, first, records
+            fence.id, self.location.id, self.boot, uptime_ms, first, records
         )
         self.mailer.post(sender, reply)
 
@@ -367,12 +369,12 @@
         now_ms = self.timers.now_ms()
         started = self.start_log.bar(bar.submission, bar.attempt, now_ms)
         kept = [self.results.get(bar.submission, index) for index in started]
-        up_ms, first = self._start_log_coverage(now_ms)
+        uptime_ms, first = self._start_log_coverage(now_ms)
         reply = BarReply(
-            re=bar.id,
+            request_id=bar.id,
             agent=self.location.id,
             boot=self.boot,
-            up_ms=up_ms,
+            uptime_ms=uptime_ms,
             first=first,
             started=started,
             results=[result for result in kept if result is not None],
@@ -386,9 +388,9 @@
 
         It is complete if it covers all starts that this identity ever admitted.
         """
-        up_ms = now_ms - self.started_ms
-        memory_ms = self.start_log.memory_ms(up_ms)
-        return memory_ms, self.first and memory_ms == up_ms
+        uptime_ms = now_ms - self.started_ms
+        memory_ms = self.start_log.memory_ms(uptime_ms)
+        return memory_ms, self.first and memory_ms == uptime_ms
 
     async def _send_heartbeats(self) -> None:
         self.upstreams.expire()
--- a/bergamotcourse/coordination/agent_reports.py
+++ b/bergamotcourse/coordination/agent_reports.py
@@ -112,18 +112,22 @@
         self.load_of = lambda _service, _entry: (0, 0, 0, 0)
         self.health_of = lambda _service: Health(0, 0, 0)
 
-    def attach(self, entry: str, address: LinkAddress, has: int = 0) -> None:
+    def attach(
+        self, entry: str, address: LinkAddress, known_state_number: int = 0
+    ) -> None:
         """Report to an entry from now on, and at once unless it is up to date.
 
         Args:
             entry: Name of the entry.
             address: Its link address.
-            has: Number of the state that it has; 0 for none.
+            known_state_number: Number of the state that it has; 0 for none.
         """
         known = self.attachments.get(address)
         now = self.timers.now()
-        self.attachments[address] = Attachment(entry, address, now, reported_number=has)
-        if known is None or has != self.number:
+        self.attachments[address] = Attachment(
+            entry, address, now, reported_number=known_state_number
+        )
+        if known is None or known_state_number != self.number:
             self.report_to(address)
         else:
             self.attachments[address].last_reported_at = known.last_reported_at
--- a/bergamotcourse/coordination/agents.py
+++ b/bergamotcourse/coordination/agents.py
@@ -180,7 +180,7 @@
         view.offers = self._permitted_offers(state)
         for offer in state.offers:
             _record_load_counts(
-                view, offer.service, offer.running, offer.waiting, offer.mine
+                view, offer.service, offer.running, offer.waiting, offer.receiver_tasks
             )
         return view
 
--- a/bergamotcourse/coordination/answer_recovery.py
+++ b/bergamotcourse/coordination/answer_recovery.py
@@ -150,7 +150,7 @@
 
 def _log_covers_claim(reply: BarReply, age_ms: int) -> bool:
     """Return whether the agent's start log reaches back to before the claim."""
-    return reply.first or reply.up_ms > age_ms * (1 + MAX_CLOCK_DRIFT_RATIO)
+    return reply.first or reply.uptime_ms > age_ms * (1 + MAX_CLOCK_DRIFT_RATIO)
 
 
 def _evaluate_replies(
--- a/bergamotcourse/coordination/config_exchange.py
+++ b/bergamotcourse/coordination/config_exchange.py
@@ -234,7 +234,7 @@
         snapshot = self.watch.snapshot()
         offset = request.offset if request.version == self.watch.version else 0
         return ConfigPart(
-            re=request.id,
+            request_id=request.id,
             version=self.watch.version,
             record=snapshot.record,
             offset=offset,
--- a/bergamotcourse/coordination/dispatcher.py
+++ b/bergamotcourse/coordination/dispatcher.py
@@ -332,7 +332,7 @@
             task.avoided_agents.add(task.view.id)
             self.fenced_out(submission)
             self._hold_for_grant(task)
-        elif result.full and self._may_redispatch(task):
+        elif result.no_free_slot and self._may_redispatch(task):
             # Refusals are bounded: after the last one, a full agent queues the task.
             task.refusals += 1
             self._enqueue(task)
--- a/bergamotcourse/coordination/jobs/agent_link.py
+++ b/bergamotcourse/coordination/jobs/agent_link.py
@@ -172,7 +172,7 @@
 
     def load(self) -> Resources:
         """Return the needs of all runs at the agent, including those just placed."""
-        return self.room.committed - self.room.yours + self.placed_needs
+        return self.room.committed - self.room.receiver_committed + self.placed_needs
 
     def free(self) -> Resources:
         """Return the capacity that is left at the agent."""
@@ -183,7 +183,11 @@
 
         It is called for each agent and each task that is placed.
         """
-        return self.room.committed.cpu - self.room.yours.cpu + self.placed_needs.cpu
+        return (
+            self.room.committed.cpu
+            - self.room.receiver_committed.cpu
+            + self.placed_needs.cpu
+        )
 
     # Runs and messages.
 
--- a/bergamotcourse/coordination/jobs/agent_links.py
+++ b/bergamotcourse/coordination/jobs/agent_links.py
@@ -17,12 +17,12 @@
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.mailer import Mailer
 from bergamotcourse.protocol.task_messages import (
-    NEVER_RAN,
+    NEVER_STARTED_OUTCOMES,
     AgentTurn,
     EndSession,
     EntryTurn,
-    Outcome,
     PlaceTask,
+    RunOutcome,
     TaskEnded,
     WithdrawTask,
 )
@@ -241,10 +241,13 @@
         self._request_send(link)
 
     def _handle_outcome(self, link: AgentLink, ended: TaskEnded) -> None:
-        if ended.key in link.former_boot_runs and ended.outcome in NEVER_RAN:
+        if (
+            ended.key in link.former_boot_runs
+            and ended.outcome in NEVER_STARTED_OUTCOMES
+        ):
             # The agent can't know which runs its earlier process has started.
             why = "its agent has restarted"
-            ended = TaskEnded(ended.key, Outcome.LOST, 0.0, why)
+            ended = TaskEnded(ended.key, RunOutcome.LOST, 0.0, why)
         owner = link.remove_run(ended.key)
         if owner is not None:
             self.on_run_ended(owner, link, ended)
@@ -252,14 +255,14 @@
     def _report_runs_lost(self, link: AgentLink, why: str) -> None:
         """Report the runs at an agent as lost; all of them have ended by now."""
         for key in list(link.placed):
-            self._handle_outcome(link, TaskEnded(key, Outcome.LOST, 0.0, why))
+            self._handle_outcome(link, TaskEnded(key, RunOutcome.LOST, 0.0, why))
         self.on_outcomes_reported()
 
     def _withdraw_unanswered(self, link: AgentLink, why: str) -> None:
         """Withdraw the runs placed without contact, none of which has started."""
         self.log.write("agent.unanswered", agent=link.name, runs=len(link.placed))
         for key in link.withdraw_unanswered_runs():
-            self._handle_outcome(link, TaskEnded(key, Outcome.RETURNED, 0.0, why))
+            self._handle_outcome(link, TaskEnded(key, RunOutcome.RETURNED, 0.0, why))
         self.on_outcomes_reported()
 
     def _tick(self) -> None:
--- a/bergamotcourse/coordination/jobs/entry_contacts.py
+++ b/bergamotcourse/coordination/jobs/entry_contacts.py
@@ -27,8 +27,8 @@
     EntryTurn,
     Farewell,
     Hello,
-    Outcome,
     PlaceTask,
+    RunOutcome,
     TaskEnded,
     WithdrawTask,
 )
@@ -241,7 +241,7 @@
             return
         contact.held.remove(held[0])
         why = "withdrawn before there was contact"
-        self.report_end(contact.address, TaskEnded(key, Outcome.RETURNED, 0.0, why))
+        self.report_end(contact.address, TaskEnded(key, RunOutcome.RETURNED, 0.0, why))
 
     def _handle_end_session(self, sender: LinkAddress, message: EndSession) -> None:
         contact = self.entries.get(sender)
@@ -348,6 +348,6 @@
             labels=life.report.labels if life else (),
             capacity=offered_capacity(executor, committed, self.timers.now()),
             committed=committed,
-            yours=executor.registry.committed(entry),
+            receiver_committed=executor.registry.committed(entry),
             on_trial=executor.health.on_trial(),
         )
--- a/bergamotcourse/coordination/jobs/executor.py
+++ b/bergamotcourse/coordination/jobs/executor.py
@@ -35,7 +35,7 @@
 from bergamotcourse.coordination.jobs.upstream_life import UpstreamLife
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.ids import LinkAddress
-from bergamotcourse.protocol.task_messages import Outcome, PlaceTask
+from bergamotcourse.protocol.task_messages import PlaceTask, RunOutcome
 from bergamotcourse.protocol.upstream_orders import (
     HoldFailure,
     Holding,
@@ -166,7 +166,7 @@
         if self.life is None:
             return
         if is_departure_of_life(self.life.report.life, gone):
-            self._end_life("it left", Outcome.LOST)
+            self._end_life("it left", RunOutcome.LOST)
             return
         self.log.write(
             "upstream.departure_ignored",
@@ -195,12 +195,14 @@
         self.registry.add(run)
         refusal = self.refusal()
         if refusal is not None:
-            self.registry.finish(run, Outcome.RETURNED, refusal)
+            self.registry.finish(run, RunOutcome.RETURNED, refusal)
             return
         self.registry.enqueue(run)
         self.start_queued_runs()
         if run.state is RunState.QUEUED and self.nursery is not None:
-            self.nursery.start_soon(self._return_after, run, order.patience / 1000)
+            self.nursery.start_soon(
+                self._return_after, run, order.queue_timeout_ms / 1000
+            )
 
     def withdraw(self, entry: LinkAddress, key: RunKey) -> None:
         """Stop a run, or bar it from starting if it is unknown here."""
@@ -264,7 +266,7 @@
         while (run := self.registry.dequeue_fitting_run(capacity)) is not None:
             if not self.may_start(run.entry):
                 self.registry.finish(
-                    run, Outcome.RETURNED, "contact with the entry is lost"
+                    run, RunOutcome.RETURNED, "contact with the entry is lost"
                 )
                 continue
             self._start(run)
@@ -319,17 +321,17 @@
             case StartVerdict.NO_ROOM:
                 self._requeue(run)
             case StartVerdict.STALE:
-                self.registry.finish(run, Outcome.STALE, verdict.value)
+                self.registry.finish(run, RunOutcome.STALE, verdict.value)
             case StartVerdict.OTHER_BOOT:
-                self.registry.finish(run, Outcome.RETURNED, verdict.value)
+                self.registry.finish(run, RunOutcome.RETURNED, verdict.value)
                 # Ended at once: until the next report, entries would place runs here
                 # again and again, only to have them returned.
                 self._end_life(OTHER_BOOT_REASON)
             case StartVerdict.UNHEALTHY:
                 self.health.record_refusal(self.timers.now())
-                self.registry.finish(run, Outcome.RETURNED, verdict.value)
+                self.registry.finish(run, RunOutcome.RETURNED, verdict.value)
             case _:
-                self.registry.finish(run, Outcome.RETURNED, verdict.value)
+                self.registry.finish(run, RunOutcome.RETURNED, verdict.value)
 
     def _started(self, run: PlacedRun) -> None:
         if run.state is RunState.STARTING:
@@ -342,7 +344,7 @@
 
     def _requeue(self, run: PlacedRun) -> None:
         if run.stop_requested:
-            self.registry.finish(run, Outcome.RETURNED, "no room")
+            self.registry.finish(run, RunOutcome.RETURNED, "no room")
             return
         self.registry.release_room(run)
         self.registry.enqueue(run)
@@ -353,7 +355,7 @@
         """Return a run to its entry if it is still queued after ``seconds``."""
         await trio.sleep(seconds)
         if run in self.registry.queue:
-            self.registry.finish(run, Outcome.RETURNED, "no room")
+            self.registry.finish(run, RunOutcome.RETURNED, "no room")
 
     async def _start_queued_runs_after_backoff(self) -> None:
         await trio.sleep(NO_ROOM_BACKOFF_SECONDS)
@@ -370,7 +372,7 @@
         )
         match run.state:
             case RunState.QUEUED:
-                self.registry.finish(run, Outcome.RETURNED, why)
+                self.registry.finish(run, RunOutcome.RETURNED, why)
             case RunState.STARTING:
                 # ``_order_start`` continues and still handles the start verdict.
                 run.state = RunState.STOPPING
@@ -500,7 +502,7 @@
         if not silent or now < lapses_at:
             return
         # Without a life in this process, it is unknown whether the upstream crashed.
-        outcome = Outcome.CRASHED if self.life else Outcome.LOST
+        outcome = RunOutcome.CRASHED if self.life else RunOutcome.LOST
         for run in self.registry.all():
             if run.occupies_room:
                 self.registry.finish(run, outcome, "its lease lapsed")
@@ -575,7 +577,7 @@
             self._handle_holding(life, answer, number)
             self.wake.set()
 
-    def _end_life(self, why: str, outcome: Outcome = Outcome.CRASHED) -> None:
+    def _end_life(self, why: str, outcome: RunOutcome = RunOutcome.CRASHED) -> None:
         """End the current life and finish its started runs with ``outcome``."""
         life = self.life
         self.life = None
--- a/bergamotcourse/coordination/jobs/holding_reconciler.py
+++ b/bergamotcourse/coordination/jobs/holding_reconciler.py
@@ -7,14 +7,14 @@
 from bergamotcourse.coordination.jobs.upstream_health import UpstreamHealth
 from bergamotcourse.coordination.jobs.upstream_life import UpstreamLife
 from bergamotcourse.coordination.timers import Timers
-from bergamotcourse.protocol.task_messages import Outcome
+from bergamotcourse.protocol.task_messages import RunOutcome
 from bergamotcourse.protocol.upstream_orders import EndedRun, EndKind, Holding
 
 OUTCOME_BY_END_KIND = {
-    EndKind.DONE: Outcome.DONE,
-    EndKind.FAILED: Outcome.FAILED,
-    EndKind.STOPPED: Outcome.STOPPED,
-    EndKind.LAPSED: Outcome.LOST,
+    EndKind.DONE: RunOutcome.DONE,
+    EndKind.FAILED: RunOutcome.FAILED,
+    EndKind.STOPPED: RunOutcome.STOPPED,
+    EndKind.LAPSED: RunOutcome.LOST,
 }
 
 
@@ -62,7 +62,9 @@
             elif 0 <= run.start_confirmed_hold < number:
                 self._finish_unlisted_run(run, life, holding)
             elif 0 <= run.stop_confirmed_hold < number:
-                self.registry.finish(run, Outcome.RETURNED, "stopped before it started")
+                self.registry.finish(
+                    run, RunOutcome.RETURNED, "stopped before it started"
+                )
 
     def finish_former_run(self, run: PlacedRun) -> bool:
         """Finish a run of an earlier process; return false if its end is unknown."""
@@ -80,8 +82,8 @@
         ran = self.timers.now() - run.started_at if run.started_at else 0.0
         health.record_end(ended.kind, run, ran, self.timers.now())
         outcome = OUTCOME_BY_END_KIND[ended.kind]
-        if run.is_moving and outcome is Outcome.STOPPED:
-            outcome = Outcome.MOVED
+        if run.is_moving and outcome is RunOutcome.STOPPED:
+            outcome = RunOutcome.MOVED
         self.registry.finish(run, outcome, ended.kind.value, ran)
 
     def _finish_unlisted_run(
@@ -102,7 +104,7 @@
             incarnation=holding.incarnation,
             last_incarnation=life.report.incarnation,
         )
-        self.registry.finish(run, Outcome.LOST, "the upstream does not list it")
+        self.registry.finish(run, RunOutcome.LOST, "the upstream does not list it")
 
 
 def _note_progress(run: PlacedRun, progress: float, now: float) -> None:
--- a/bergamotcourse/coordination/jobs/job_dispatcher.py
+++ b/bergamotcourse/coordination/jobs/job_dispatcher.py
@@ -29,9 +29,9 @@
 from bergamotcourse.coordination.jobs.work_estimates import WorkEstimates
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.protocol.task_messages import (
-    NEVER_RAN,
-    Outcome,
+    NEVER_STARTED_OUTCOMES,
     PlaceTask,
+    RunOutcome,
     TaskEnded,
 )
 from bergamotcourse.state.job_spec import JobId, JobQueue, JobSpec
@@ -204,26 +204,28 @@
     ) -> None:
         """Apply the outcome of a run to its task and job."""
         job = task.job
-        if ended.outcome in NEVER_RAN:
+        if ended.outcome in NEVER_STARTED_OUTCOMES:
             job.possible_runs -= 1
         is_current = task.state is TaskState.PLACED and task.key == ended.key
         if job.outcome is not None or task.state is TaskState.DONE:
             return
-        if ended.outcome is Outcome.DONE:
+        if ended.outcome is RunOutcome.DONE:
             if self.policy.learns_estimates:
                 declared = task.spec.estimate * self._remote_factor_of(task)
-                self.estimates.record_run_time(job.queue.name, declared, ended.ran)
+                self.estimates.record_run_time(
+                    job.queue.name, declared, ended.run_seconds
+                )
             self._complete_task(job, task)
             return
-        if ended.outcome in (Outcome.FAILED, Outcome.MOVED, Outcome.CRASHED):
+        if ended.outcome in (RunOutcome.FAILED, RunOutcome.MOVED, RunOutcome.CRASHED):
             task.avoid.add(link.name)
-        if ended.outcome is Outcome.CRASHED:
+        if ended.outcome is RunOutcome.CRASHED:
             task.crashes += 1
             if task.crashes >= MAX_UPSTREAM_CRASHES:
                 why = f"{task.crashes} upstreams crashed under {task.name}"
                 job.finish(JobOutcome.FAILED, why)
                 return
-        if ended.outcome is Outcome.FAILED:
+        if ended.outcome is RunOutcome.FAILED:
             task.failures += 1
             if task.failures >= job.queue.max_attempts:
                 job.finish(
@@ -406,9 +408,9 @@
             request=job.spec.id,
             payload=job.spec.payload,
             needs=task.spec.needs,
-            rank=round((job.start_by - now) * 1000),
+            slack_ms=round((job.start_by - now) * 1000),
             estimate=task.spec.estimate * job.factor * self._remote_factor_of(task),
-            patience=AGENT_QUEUE_TIMEOUT_MS,
+            queue_timeout_ms=AGENT_QUEUE_TIMEOUT_MS,
         )
         self.links.place(link, order, task.spec.needs, task)
         self.log.write(
--- a/bergamotcourse/coordination/jobs/peers.py
+++ b/bergamotcourse/coordination/jobs/peers.py
@@ -141,7 +141,7 @@
         known = set(self.agents())
         for address in addresses:
             if address not in known:
-                self.mailer.post(address, self._greeting(asks=False))
+                self.mailer.post(address, self._greeting(wants_reply=False))
 
     def send_farewell(self) -> None:
         """Notify all known entries and agents that this process exits."""
@@ -160,8 +160,8 @@
         if greeting.config > self.queues.version:
             self.log.write("config.wanted", version=greeting.config, peer=sender)
             self.mailer.post(sender, ConfigWanted(self.queues.version))
-        if greeting.asks:
-            self.mailer.post(sender, self._greeting(asks=False, whole=True))
+        if greeting.wants_reply:
+            self.mailer.post(sender, self._greeting(wants_reply=False, whole=True))
 
     def _tick(self) -> None:
         now = self.timers.now()
@@ -188,9 +188,9 @@
         peers = list(self.peers)
         drawn = self.rng.sample(peers, min(PEERS_PER_ROUND, len(peers)))
         for index, peer in enumerate(drawn):
-            self.mailer.post(peer, self._greeting(asks=index < asked))
+            self.mailer.post(peer, self._greeting(wants_reply=index < asked))
 
-    def _greeting(self, asks: bool, whole: bool = False) -> Hello:
+    def _greeting(self, wants_reply: bool, whole: bool = False) -> Hello:
         entries = list(self.peers) if whole else []
         agents = self.agents() if whole else []
         return Hello(
@@ -198,6 +198,6 @@
             entries=entries,
             agents=agents,
             config=self.queues.version,
-            asks=asks,
+            wants_reply=wants_reply,
             evacuations=self.zones.latest,
         )
--- a/bergamotcourse/coordination/jobs/run_registry.py
+++ b/bergamotcourse/coordination/jobs/run_registry.py
@@ -6,7 +6,7 @@
 from bergamotcourse.coordination.event_log import EventLog
 from bergamotcourse.coordination.jobs.task_runs import PlacedRun, RunState
 from bergamotcourse.ids import LinkAddress
-from bergamotcourse.protocol.task_messages import Outcome, TaskEnded
+from bergamotcourse.protocol.task_messages import RunOutcome, TaskEnded
 from bergamotcourse.protocol.upstream_orders import RunKey
 from bergamotcourse.state.resources import NOTHING, Resources
 
@@ -88,7 +88,7 @@
         self.used = self.used - run.needs
 
     def finish(
-        self, run: PlacedRun, outcome: Outcome, detail: str, ran: float = 0.0
+        self, run: PlacedRun, outcome: RunOutcome, detail: str, ran: float = 0.0
     ) -> None:
         """Remove a run, free its room, and report its outcome.
 
@@ -121,7 +121,7 @@
     def return_queued_runs(self, why: str) -> None:
         """Return all queued runs to their entries."""
         for run in list(self.queue):
-            self.finish(run, Outcome.RETURNED, why)
+            self.finish(run, RunOutcome.RETURNED, why)
 
     def committed(self, entry: LinkAddress | None = None) -> Resources:
         """Return the total needs of all runs, or of those of one entry."""
--- a/bergamotcourse/coordination/jobs/store_watch.py
+++ b/bergamotcourse/coordination/jobs/store_watch.py
@@ -145,7 +145,7 @@
         if self.position is None:
             return await self.store.read_config(STORE_CALL_TIMEOUT_SECONDS)
         wait = long_poll_seconds(self.peer_count())
-        return await self.store.config_changes(
+        return await self.store.wait_for_config_changes(
             self.position, wait, wait + STORE_CALL_TIMEOUT_SECONDS
         )
 
@@ -181,7 +181,7 @@
         self.position = read.position
 
     def _evacuations_after(self, read: ConfigRead) -> Evacuations:
-        if read.is_whole:
+        if read.is_snapshot:
             zones = sorted(change.zone for change in read.zones)
             return Evacuations(read.position, tuple(zones))
         return apply_changes(self.zones.latest, read.zones)
--- a/bergamotcourse/coordination/jobs/task_runs.py
+++ b/bergamotcourse/coordination/jobs/task_runs.py
@@ -64,4 +64,4 @@
 
     def rank(self) -> tuple[float, float]:
         """Return the sort key in the queue; the lowest starts first."""
-        return (self.placed_at + self.order.rank / 1000, self.placed_at)
+        return (self.placed_at + self.order.slack_ms / 1000, self.placed_at)
--- a/bergamotcourse/coordination/range_recovery.py
+++ b/bergamotcourse/coordination/range_recovery.py
@@ -258,7 +258,9 @@
                 self._store_record(
                     recovery, record.submission, self._record_from_start_log(record)
                 )
-        log_since = self.timers.now() - log.up_ms / 1000 / (1 + MAX_CLOCK_DRIFT_RATIO)
+        log_since = self.timers.now() - log.uptime_ms / 1000 / (
+            1 + MAX_CLOCK_DRIFT_RATIO
+        )
         if log.first or log_since < recovery.unjournaled_since:
             recovery.reported_agents.add(log.agent)
 
--- a/bergamotcourse/coordination/slot_calls.py
+++ b/bergamotcourse/coordination/slot_calls.py
@@ -17,10 +17,12 @@
     def __init__(self):
         self.requested_at: dict[tuple[str, LinkAddress], float] = {}
 
-    def update(self, service: str, entry: LinkAddress, wants: bool, now: float) -> None:
+    def update(
+        self, service: str, entry: LinkAddress, wants_slots: bool, now: float
+    ) -> None:
         """Add, keep or remove an entry's request, as its last start says."""
         key = (service, entry)
-        if wants:
+        if wants_slots:
             self.requested_at[key] = now
         else:
             self.requested_at.pop(key, None)
--- a/bergamotcourse/coordination/start_messages.py
+++ b/bergamotcourse/coordination/start_messages.py
@@ -56,6 +56,6 @@
         job=task.job,
         weight=submission.weight,
         queue=options.queue_if_full,
-        wants=options.wants_slots,
-        more=options.more_job_tasks,
+        wants_slots=options.wants_slots,
+        more_job_tasks=options.more_job_tasks,
     )
--- a/bergamotcourse/coordination/status.py
+++ b/bergamotcourse/coordination/status.py
@@ -71,7 +71,7 @@
         "link.bytes_received": counters.bytes_received,
         "link.dropped": counters.dropped,
         "link.undecodable": counters.undecodable,
-        "link.late_replies": counters.late,
+        "link.late_replies": counters.late_replies,
     }
 
 
--- a/bergamotcourse/platform/store.py
+++ b/bergamotcourse/platform/store.py
@@ -95,16 +95,16 @@
     async def read_config(self, timeout: float) -> Result[ConfigRead, StepError]:
         """Return the configuration, and all zones that are evacuated."""
         rows = await self._read(OPERATOR_TABLE, timeout)
-        return rows.map(lambda read: self._config_in(read, is_whole=True))
+        return rows.map(lambda read: self._config_in(read, is_snapshot=True))
 
-    async def config_changes(
+    async def wait_for_config_changes(
         self, after: int, wait: float, timeout: float
     ) -> Result[ConfigRead, StepError]:
         """Return what of these changes within ``wait`` seconds."""
         fields = {"table": OPERATOR_TABLE, "after": after, "wait_ms": int(wait * 1000)}
         target = f"/bergamotcourse/rows-feed?{urlencode(fields)}"
         rows = await self._get(OPERATOR_TABLE, target, timeout)
-        return rows.map(lambda read: self._config_in(read, is_whole=False))
+        return rows.map(lambda read: self._config_in(read, is_snapshot=False))
 
     async def put_entry(
         self, address: LinkAddress, timeout: float
@@ -206,13 +206,13 @@
         self.skipped.add(known)
         self.log.write("store.row_skipped", table=table, key=row.key, why=str(error))
 
-    def _config_in(self, read: Rows, is_whole: bool) -> ConfigRead:
+    def _config_in(self, read: Rows, is_snapshot: bool) -> ConfigRead:
         """Return what the rows of the operator's table ask for."""
         return ConfigRead(
             read.version,
             self._content_in(read),
             zone_changes_in(read),
-            is_whole,
+            is_snapshot,
             sum(row.key == CONFIG_KEY for row in read.rows),
         )
 
--- a/bergamotcourse/protocol/__init__.py
+++ b/bergamotcourse/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What the bytes mean: messages, problem details and the platform client."""
+"""Messages, HTTP problem details, the platform client and upstream interfaces."""
--- a/bergamotcourse/protocol/attempts.py
+++ b/bergamotcourse/protocol/attempts.py
@@ -1,7 +1,7 @@
 """Bounded attempts with exponential backoff and full jitter.
 
-``tenacity.wait_random_exponential`` draws from the global random source, which
-cannot be seeded for one caller alone, so its formula stands here.
+The formula is that of ``tenacity.wait_random_exponential``, which is not used because
+it draws from the global random source, and that cannot be seeded for a single caller.
 """
 
 import random
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """Limits of one call with all its attempts; times in seconds.
+    """Limits of one call including its retries; times in seconds.
 
     Attributes:
-        timeout: For the whole call.
-        attempt_timeout: For one attempt.
-        attempts: At most so many.
-        backoff_base: Upper bound of the first pause; it doubles each time.
-        backoff_cap: Upper bound of all pauses.
+        timeout: Timeout of the whole call.
+        attempt_timeout: Timeout of one attempt.
+        attempts: Maximum number of attempts.
+        backoff_base: Upper bound of the first backoff; it doubles with each retry.
+        backoff_cap: Upper bound of every backoff.
     """
 
     timeout: float = 2.0
@@ -30,11 +30,11 @@
 
 
 class Attempts:
-    """The attempts of one call.
+    """Counts and times the attempts of one call.
 
     Attributes:
-        deadline: On trio's clock; no attempt or pause lasts longer.
-        made: Attempts that have ended.
+        deadline: Time on trio's clock by which every attempt and backoff ends.
+        completed_attempts: Number of attempts that have ended.
     """
 
     def __init__(
@@ -45,25 +45,30 @@
         if deadline is None:
             deadline = trio.current_time() + limits.timeout
         self.deadline = deadline
-        self.made = 0
+        self.completed_attempts = 0
 
     def remaining(self) -> float:
-        """Return the seconds left, at least 0."""
+        """Return the seconds until the deadline, at least 0."""
         return max(0.0, self.deadline - trio.current_time())
 
     def attempt_timeout(self) -> float:
-        """Return the seconds that the next attempt may take."""
+        """Return the timeout of the next attempt in seconds."""
         return min(self.limits.attempt_timeout, self.remaining())
 
-    async def another(self) -> bool:
-        """Pause before another attempt; false if none is left or there is no time."""
-        self.made += 1
-        pause = self.rng.uniform(0, self._bound())
-        if self.made >= self.limits.attempts or pause >= self.remaining():
+    async def wait_for_retry(self) -> bool:
+        """Count the attempt that ended and back off before the next one.
+
+        Returns:
+            False, without a backoff, if no attempt is left or the backoff would last
+            until the deadline.
+        """
+        self.completed_attempts += 1
+        pause = self.rng.uniform(0, self._max_backoff())
+        if self.completed_attempts >= self.limits.attempts or pause >= self.remaining():
             return False
         await trio.sleep(pause)
         return True
 
-    def _bound(self) -> float:
-        bound = self.limits.backoff_base * 2 ** (self.made - 1)
+    def _max_backoff(self) -> float:
+        bound = self.limits.backoff_base * 2 ** (self.completed_attempts - 1)
         return min(self.limits.backoff_cap, bound)
--- a/bergamotcourse/protocol/circuit_breaker.py
+++ b/bergamotcourse/protocol/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""A circuit breaker: spares a failing peer, and its callers the wait."""
+"""A circuit breaker: calls to a failing peer fail at once instead of waiting."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 
 
 class BreakerState(Enum):
-    """Whether calls are let through.
+    """Which calls are permitted.
 
     Attributes:
-        CLOSED: All calls.
-        OPEN: No call.
-        HALF_OPEN: No call but the one probe under way.
+        CLOSED: All calls are permitted.
+        OPEN: No call is permitted.
+        HALF_OPEN: Only the probe in flight is permitted.
     """
 
     CLOSED = "closed"
@@ -23,7 +23,11 @@
 
 @dataclass(frozen=True)
 class Permit:
-    """Leave for one call, to be given back with the call's outcome."""
+    """Permission for one call; the caller reports the outcome of the call with it.
+
+    Attributes:
+        probe: The call is the probe that decides whether the breaker closes.
+    """
 
     probe: bool
 
@@ -32,8 +36,8 @@
     """Opens after consecutive failures and closes after a successful probe.
 
     Attributes:
-        threshold: Consecutive failures that open it.
-        pause: Seconds from opening until a probe is let through.
+        threshold: Consecutive failures that open the breaker.
+        pause: Seconds from opening until a probe is permitted.
         clock: Returns seconds on a monotonic clock.
     """
 
@@ -51,7 +55,7 @@
         self.opened_at = 0.0
 
     def acquire(self) -> Permit | None:
-        """Return leave for one call, or ``None`` if it must fail at once."""
+        """Return a permit for one call, or ``None`` if the call must fail at once."""
         match self.state:
             case BreakerState.CLOSED:
                 return Permit(probe=False)
@@ -62,13 +66,13 @@
                 return None
 
     def succeed(self, permit: Permit) -> None:
-        """Record a success; one of a call older than the opening is ignored."""
+        """Record a success; ignored for a call that began before the breaker opened."""
         if permit.probe or self.state is BreakerState.CLOSED:
             self.state = BreakerState.CLOSED
             self.failures = 0
 
     def fail(self, permit: Permit) -> None:
-        """Record a failure; one of a call older than the opening is ignored."""
+        """Record a failure; ignored for a call that began before the breaker opened."""
         if permit.probe:
             self._open()
         elif self.state is BreakerState.CLOSED:
--- a/bergamotcourse/protocol/drain_progress.py
+++ b/bergamotcourse/protocol/drain_progress.py
@@ -1,4 +1,4 @@
-"""How far a drain is, and whether what remains carries the load."""
+"""The progress of a drain, and whether the remaining capacity suffices."""
 
 from dataclasses import dataclass
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True)
 class Remainder:
-    """One service without what is drained.
+    """The capacity and load of one service without the drained upstreams.
 
     Attributes:
-        slots: At the upstreams that remain and get new work.
+        slots: Slots of the remaining upstreams that get new tasks.
         load: Tasks of the service at all agents and in all queues.
     """
 
@@ -23,18 +23,20 @@
 
     @property
     def fits(self) -> bool:
-        """Whether the slots that remain carry the load."""
+        """Whether the remaining slots suffice for the load."""
         return self.load <= self.slots
 
 
 @dataclass(frozen=True)
 class DrainProgress:
-    """A drain, by the status of some entries.
+    """The progress of a drain, computed from the status of some entries.
 
     Attributes:
-        covered: The upstreams that it takes out of service, as ``AGENT/UPSTREAM``.
-        running: Tasks of their services still at their agents.
-        remainders: What remains, for each of their services.
+        covered: The upstreams that the drain takes out of service, as
+            ``AGENT/UPSTREAM``.
+        running: Tasks of the services of these upstreams that are still at their
+            agents.
+        remainders: The remaining capacity of each of these services.
     """
 
     kind: str
@@ -45,12 +47,12 @@
 
     @property
     def overloaded(self) -> list[Remainder]:
-        """The services whose load does not fit on what remains."""
-        return [one for one in self.remainders if not one.fits]
+        """The services whose load exceeds the remaining slots."""
+        return [remainder for remainder in self.remainders if not remainder.fits]
 
 
 def drain_progress(drain: Drain, entries: list[EntryStatus]) -> DrainProgress:
-    """Return how far a drain is, or what it would do, by the entries' status."""
+    """Return the progress of a drain, or its effect if it were started."""
     agents = newest_agents(entries)
     covered = [
         (agent, upstream)
@@ -93,17 +95,21 @@
 
 
 def newest_agents(entries: list[EntryStatus]) -> list[AgentStatus]:
-    """Return each agent once, as the entry that heard it last tells."""
+    """Return the most recent status of each agent, sorted by agent id.
+
+    Of several entries' reports of one agent, the one counts whose entry received a
+    message from the agent last.
+    """
     newest: dict[str, AgentStatus] = {}
     for entry in entries:
         for agent in entry.agents:
             known = newest.get(agent.id)
-            if known is None or _age(agent) < _age(known):
+            if known is None or _status_age(agent) < _status_age(known):
                 newest[agent.id] = agent
     return [newest[name] for name in sorted(newest)]
 
 
-def _age(agent: AgentStatus) -> float:
+def _status_age(agent: AgentStatus) -> float:
     return float("inf") if agent.heard_seconds is None else agent.heard_seconds
 
 
@@ -122,12 +128,12 @@
         for load in agent.services
         if load.service == service
     )
-    slots = sum(_slots(service, drain, agent) for agent in agents)
+    slots = sum(_remaining_slots(service, drain, agent) for agent in agents)
     return Remainder(service, slots, queued + at_agents)
 
 
-def _slots(service: str, drain: Drain, agent: AgentStatus) -> int:
-    """Return the slots that an agent keeps for a service."""
+def _remaining_slots(service: str, drain: Drain, agent: AgentStatus) -> int:
+    """Return the slots that an agent still offers for a service under the drain."""
     if agent.health != USABLE:
         return 0
     return sum(
--- a/bergamotcourse/protocol/job_body.py
+++ b/bergamotcourse/protocol/job_body.py
@@ -1,4 +1,4 @@
-"""The JSON bodies of jobs: what callers send and what they get."""
+"""The JSON bodies of job requests and of their responses."""
 
 import base64
 import binascii
@@ -36,8 +36,8 @@
     """A job.
 
     Attributes:
-        job_class: Name of a job class of the manifest; sets limits.
-        timeout_seconds: Longest time until the whole answer.
+        job_class: Name of a job class of the manifest, which sets limits.
+        timeout_seconds: Timeout of the job until the whole answer is returned.
     """
 
     service: str
@@ -56,7 +56,7 @@
 
 
 class AnswerBody(msgspec.Struct):
-    """The whole answer of a job: a result for each task, in the tasks' order."""
+    """The answer to a job: one result for each task, in the order of the tasks."""
 
     outcome: Outcome
     results: list[ResultBody]
@@ -66,7 +66,7 @@
 
 
 def parse_job(content: bytes) -> Result[JobBody, str]:
-    """Return the job in a body, or what is wrong with it."""
+    """Return the job decoded from a body, or a text that describes the error."""
     try:
         return Ok(_decoder.decode(content))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -74,25 +74,25 @@
 
 
 def task_request(task: TaskBody) -> Result[TaskRequest, str]:
-    """Return the request that a task makes, or what is wrong with it."""
+    """Return the HTTP request of a task, or a text that describes the error."""
     if not task.target.startswith("/") or not _is_printable(task.target):
         return Error(
             f"target {task.target!r} is not a path; give one that starts with /"
         )
     if not task.method or not set(task.method) <= TOKEN_CHARACTERS:
-        return Error(f"method {task.method!r} is not one of HTTP")
+        return Error(f"method {task.method!r} is not a valid HTTP method")
     for name, value in task.headers.items():
-        if not name or not set(name) <= TOKEN_CHARACTERS or not _is_field(value):
-            return Error(f"header {name!r} is not one of HTTP")
+        if not name or not set(name) <= TOKEN_CHARACTERS or not _is_header_value(value):
+            return Error(f"header {name!r} is not a valid HTTP header")
     body = _body_bytes(task)
     if body is None:
-        return Error("body_base64 is not base64, or stands beside body")
+        return Error("body_base64 is not valid base64, or body is set as well")
     headers = [(name.lower(), value) for name, value in task.headers.items()]
     return Ok(TaskRequest(task.method.upper(), task.target, headers, body))
 
 
 def answer_body(results: list[TaskResult]) -> bytes:
-    """Return the whole answer of a job that is done."""
+    """Return the encoded answer of a job whose tasks are all done."""
     answer = AnswerBody(Outcome.DONE, [_result_body(result) for result in results])
     return msgspec.json.encode(answer)
 
@@ -121,6 +121,6 @@
     return text.isascii() and all(33 <= ord(character) < 127 for character in text)
 
 
-def _is_field(text: str) -> bool:
+def _is_header_value(text: str) -> bool:
     inside = all(32 <= ord(character) < 127 or character == "\t" for character in text)
     return inside and text == text.strip()
--- a/bergamotcourse/protocol/job_store.py
+++ b/bergamotcourse/protocol/job_store.py
@@ -1,4 +1,4 @@
-"""What the job dispatcher keeps in the platform's store, and reads there."""
+"""The interface to the platform's store as used by the job dispatcher."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -13,67 +13,78 @@
 
 @dataclass(frozen=True)
 class ConfigRead:
-    """What the operator asks for, as the store holds it.
+    """The operator's configuration and zone evacuations, as read from the store.
 
     Attributes:
-        position: Up to where the store's changes are covered.
-        content: The configuration; ``None`` where there is none, or it has not changed.
-        zones: The zones that are evacuated or taken back.
-        is_whole: No zone is evacuated but those of ``zones``.
-        copies: Configurations that the store's answer has.
+        position: Version of the store up to which its changes are included.
+        content: The configuration; ``None`` if there is none or it has not changed.
+        zones: The zones that were evacuated or are no longer evacuated.
+        is_snapshot: Whether ``zones`` lists every evacuated zone, so that any other
+            zone is not evacuated; otherwise ``zones`` is a delta.
+        copies: Number of configurations in the store's answer.
     """
 
     position: int
     content: bytes | None
     zones: tuple[ZoneChange, ...] = ()
-    is_whole: bool = False
+    is_snapshot: bool = False
     copies: int = 0
 
 
 class HistoryGoneError(StepError):
-    """The store has forgotten what changed: the configuration is to be read anew."""
+    """The store no longer has the requested changes; a full read is required."""
 
 
 class JobStore(Protocol):
-    """The store's calls; each has a timeout in seconds, and none is repeated."""
+    """Calls to the store; timeouts are in seconds, and no call is retried."""
 
     async def read_config(self, timeout: float) -> Result[ConfigRead, StepError]:
-        """Return the configuration, and all zones that are evacuated."""
+        """Return the configuration and all evacuated zones."""
 
-    async def config_changes(
+    async def wait_for_config_changes(
         self, after: int, wait: float, timeout: float
     ) -> Result[ConfigRead, StepError]:
-        """Return what of these changes within ``wait`` seconds."""
+        """Return changes of the configuration and the evacuations (long poll).
+
+        Args:
+            after: Position after which changes are returned.
+            wait: Seconds to wait for a change.
+            timeout: Seconds for the answer.
+
+        Returns:
+            The changes as a delta; a ``HistoryGoneError`` if the store no longer has
+            all changes after the position.
+        """
 
     async def put_entry(
         self, address: LinkAddress, timeout: float
     ) -> Result[None, StepError]:
-        """Make an entry known."""
+        """Register an entry."""
 
     async def remove_entry(
         self, address: LinkAddress, timeout: float
     ) -> Result[None, StepError]:
-        """Withdraw an entry."""
+        """Remove the registration of an entry."""
 
     async def read_entries(
         self, timeout: float
     ) -> Result[list[LinkAddress], StepError]:
-        """Return the entries that have made themselves known."""
+        """Return the registered entries."""
 
     async def put_upstream(
         self, agent: LinkAddress, report: UpstreamReport, timeout: float
     ) -> Result[None, StepError]:
-        """Keep the report of an upstream for the next process of its agent."""
+        """Store the report of an upstream for the next process of its agent."""
 
     async def read_upstreams(
         self, timeout: float
     ) -> Result[dict[LinkAddress, UpstreamReport], StepError]:
-        """Return the upstreams by agent, as last reported."""
+        """Return the last stored report of each agent's upstream, by agent."""
 
     async def read_upstream(
         self, agent: LinkAddress, timeout: float
     ) -> Result[UpstreamReport | None, StepError]:
-        """Return the upstream of one agent, as last reported."""
+        """Return the last stored report of one agent's upstream, if any."""
 
     async def aclose(self) -> None:
         """Close the connections."""
--- a/bergamotcourse/protocol/mailer.py
+++ b/bergamotcourse/protocol/mailer.py
@@ -1,8 +1,8 @@
-"""Messages over a link: batches, requests with their replies, and counts.
+"""Messages over a link: batching, requests with replies, and counters.
 
-Each peer has an outbox and a task that sends all that waits there in one envelope. A
-message that finds the outbox empty leaves at once; while a send takes its time, the
-next batch grows.
+Each peer has an outbox and a task that sends the queued messages in one envelope. A
+message that is posted to an empty outbox is sent at once; messages that are posted
+during a send form the next batch.
 """
 
 import itertools
@@ -37,14 +37,14 @@
 )
 from bergamotcourse.transport.link import Link
 
-IDLE_TIMEOUT = 60.0
-"""Seconds without a message after which the state of a peer is dropped."""
+PEER_IDLE_TIMEOUT_SECONDS = 60.0
+"""Seconds without a message to a peer after which its state is evicted."""
 
 REQUEST_ID_BITS = 62
-"""Requests are numbered from a random start below this power of two, so that a reply
-to an earlier process at the same address finds no request."""
+"""Request ids count up from a random number of at most this many bits, so that a reply
+to an earlier process at the same address matches no request of this process."""
 
-REPLIES = (
+REPLY_TYPES = (
     StartLogReply,
     BarReply,
     Granted,
@@ -60,25 +60,25 @@
 
 RequestResult = Result[AnyMessage, StepError]
 
-_part_encoder = msgspec.msgpack.Encoder()
-"""Encodes single messages: the bytes of a batch are known only part by part."""
+_message_encoder = msgspec.msgpack.Encoder()
+"""Encodes messages one by one, because the size of a batch is limited in bytes."""
 
 
 @dataclass
 class Counters:
-    """Counts since the mailer was made.
+    """Counts since the mailer was created.
 
     Attributes:
         sent: Messages that the link accepted, by type name.
         received: Messages received, by type name.
         batches_sent: Envelopes that the link accepted.
         batches_received: Envelopes received.
-        bytes_sent: Bytes of the envelopes sent.
-        bytes_received: Bytes received, also of what could not be decoded.
-        dropped: Messages that were certainly not sent: the outbox was full, the
-            link refused them, or the peer was forgotten.
-        undecodable: Payloads received that hold no envelope.
-        late: Replies that no request waits for.
+        bytes_sent: Bytes of the envelopes that the link accepted.
+        bytes_received: Bytes received, including undecodable payloads.
+        dropped: Messages that were certainly not sent, for example because the outbox
+            was full, the link refused them, or the peer was forgotten.
+        undecodable: Payloads received that are not a valid envelope.
+        late_replies: Replies received for which no request is pending.
     """
 
     sent: Counter[str] = field(default_factory=Counter)
@@ -89,18 +89,19 @@
     bytes_received: int = 0
     dropped: int = 0
     undecodable: int = 0
-    late: int = 0
+    late_replies: int = 0
 
 
 @dataclass
 class Outbox:
-    """The messages that wait for one peer.
+    """The queue of messages to one peer.
 
     Attributes:
-        changed: Where the task of the peer waits for a message.
-        scope: Ends the task of the peer.
-        sending: True while a batch is with the link.
-        idle_since: When the last batch was sent, on trio's clock.
+        waiting: Messages that are not sent yet, in order.
+        changed: Where the peer's send loop waits for a message.
+        scope: Cancels the peer's send loop.
+        sending: True while the link is sending a batch.
+        idle_since: When the last send ended, on trio's clock.
     """
 
     waiting: deque[AnyMessage] = field(default_factory=deque)
@@ -110,12 +111,12 @@
     idle_since: float = 0.0
 
     def put(self, message: AnyMessage) -> None:
-        """Add a message and wake the task of the peer."""
+        """Queue a message and wake the peer's send loop."""
         self.waiting.append(message)
         self.changed.unpark()
 
     def withdraw(self, message: AnyMessage) -> bool:
-        """Take back a message; false if it has left already."""
+        """Remove a queued message; return false if it is no longer queued."""
         for index, other in enumerate(self.waiting):
             if other is message:
                 del self.waiting[index]
@@ -123,57 +124,66 @@
         return False
 
     def clear(self) -> list[AnyMessage]:
-        """Take back all messages that have not left."""
+        """Remove and return all queued messages."""
         messages = list(self.waiting)
         self.waiting.clear()
         return messages
 
     async def wait(self) -> None:
-        """Return once a message waits."""
+        """Wait until a message is queued."""
         while not self.waiting:
             await self.changed.park()
 
-    def drop_at(self, now: float) -> float:
-        """Return when the peer is dropped if nothing is posted before."""
+    def idle_deadline(self, now: float) -> float:
+        """Return when the peer is evicted unless a message is posted before."""
         busy = self.waiting or self.sending
-        return (now if busy else self.idle_since) + IDLE_TIMEOUT
+        return (now if busy else self.idle_since) + PEER_IDLE_TIMEOUT_SECONDS
 
 
 @dataclass
 class PendingRequest:
-    """A request that waits for its reply."""
+    """A request in flight.
+
+    Attributes:
+        done: Set once there is a result.
+        result: The reply or the error.
+    """
 
     peer: LinkAddress
     message: AnyMessage
     done: trio.Event = field(default_factory=trio.Event)
     result: RequestResult | None = None
 
-    def settle(self, result: RequestResult) -> None:
-        """Set the result, unless there is one, and wake the requester."""
+    def complete(self, result: RequestResult) -> None:
+        """Set the result, unless there is one already, and wake the requester."""
         if self.result is None:
             self.result = result
             self.done.set()
 
     def fail(self, step: Step, detail: str) -> None:
-        """Set an error as the result."""
-        self.settle(Error(StepError(step, self.peer, detail)))
+        """Complete the request with an error."""
+        self.complete(Error(StepError(step, self.peer, detail)))
 
 
 class Mailer:
     """Sends and receives messages over a link.
 
     Attributes:
-        outbox: Messages that may wait for each peer.
-        batch: Messages in one envelope, at most.
-        batch_bytes: Bytes of the messages in one envelope, at most; a larger
-            message travels alone.
-        config_version: Goes out with each envelope.
-        handler: Called for each received message that is no reply, in order. It
+        outbox: Maximum number of messages queued for each peer.
+        batch: Maximum number of messages in one envelope.
+        batch_bytes: Maximum size of the messages in one envelope; a larger message is
+            sent in an envelope of its own.
+        config_version: The version of the configuration in force, which is sent with
+            each envelope.
+        handler: Called for each received message that is not a reply, in order. It
             must not block.
-        on_envelope: Called for each envelope, before its messages.
-        on_unsent: Called with messages that ``post`` took and that were certainly
+        on_envelope: Called for each received envelope, before its messages.
+        on_unsent: Called with messages that ``post`` accepted and that were certainly
             not sent.
-        counters: What was sent and received.
+        counters: Counts of messages, envelopes and bytes.
+        outboxes: The outbox of each peer that is not idle.
+        pending: The requests in flight, by request id.
+        batch_finished: Where ``drain`` waits for the end of a send.
     """
 
     def __init__(
@@ -189,7 +199,7 @@
         self.batch = batch
         self.batch_bytes = batch_bytes
         self.config_version = ConfigVersion(0)
-        self.handler: Callable[[LinkAddress, AnyMessage], None] = _ignore
+        self.handler: Callable[[LinkAddress, AnyMessage], None] = _discard_message
         self.on_envelope: Callable[[Envelope], None] | None = None
         self.on_unsent: Callable[[LinkAddress, list[AnyMessage]], None] | None = None
         self.counters = Counters()
@@ -197,12 +207,12 @@
         self.pending: dict[int, PendingRequest] = {}
         self.nursery: trio.Nursery | None = None
         self.closed = False
-        self.sent_batch = trio.lowlevel.ParkingLot()
+        self.batch_finished = trio.lowlevel.ParkingLot()
         first_id = (rng or random.Random()).getrandbits(REQUEST_ID_BITS)
         self.request_ids = itertools.count(first_id)
 
     async def run(self) -> None:
-        """Run the link, the receive loop and a task for each peer until cancelled."""
+        """Run the link, the receive loop and the send loops until cancelled."""
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.link.run)
@@ -210,20 +220,22 @@
                 self.nursery = nursery
                 nursery.start_soon(self._drop_idle_peers)
                 for peer, outbox in self.outboxes.items():
-                    nursery.start_soon(self._serve_peer, peer, outbox)
-                await self._receive()
+                    nursery.start_soon(self._run_send_loop, peer, outbox)
+                await self._run_receive_loop()
         finally:
             self.closed = True
 
     def post(self, peer: LinkAddress, message: AnyMessage) -> bool:
-        """Queue a message; false means that it is certainly not sent.
+        """Queue a message.
 
-        True means that it may be sent: what matters is answered.
+        Returns:
+            False if the message will certainly not be sent. True does not promise
+            delivery: only a reply proves that a message arrived.
         """
         if self.closed:
             self.counters.dropped += 1
             return False
-        outbox = self._outbox(peer)
+        outbox = self._get_or_create_outbox(peer)
         if len(outbox.waiting) >= self.outbox:
             self.counters.dropped += 1
             return False
@@ -231,21 +243,24 @@
         return True
 
     async def request(
-        self, peer: LinkAddress, make: Callable[[int], AnyMessage], timeout: float
+        self,
+        peer: LinkAddress,
+        build_message: Callable[[int], AnyMessage],
+        timeout: float,
     ) -> RequestResult:
         """Send a message and return the reply to it.
 
         Args:
-            peer: Where to send it.
-            make: Makes the message with the id that it is given.
+            peer: The address of the receiver.
+            build_message: Returns the message with the given request id.
             timeout: Seconds to wait for the reply.
 
         Returns:
             The reply; or an error of step ``SEND`` if the message was certainly not
-            sent, or of step ``RECEIVE`` if it may have been.
+            sent, or of step ``RECEIVE`` if it may have been sent.
         """
         request_id = next(self.request_ids)
-        request = PendingRequest(peer, make(request_id))
+        request = PendingRequest(peer, build_message(request_id))
         if not self.post(peer, request.message):
             return Error(StepError(Step.SEND, peer, "outbox full or closed"))
         self.pending[request_id] = request
@@ -258,17 +273,23 @@
         return request.result
 
     async def drain(self, timeout: float) -> bool:
-        """Return true once the link took all that was posted, false on timeout.
+        """Wait until the link has taken all posted messages.
+
+        The link may still buffer them: only a reply proves that a message arrived.
 
-        The link may still hold it: only an answer shows that it arrived.
+        Args:
+            timeout: In seconds.
+
+        Returns:
+            False if messages are still unsent after the timeout.
         """
         with trio.move_on_after(timeout):
             while self._has_unsent():
-                await self.sent_batch.park()
+                await self.batch_finished.park()
         return not self._has_unsent()
 
     def forget(self, peer: LinkAddress) -> None:
-        """Drop all state of a peer and fail the requests to it."""
+        """Drop all state of a peer and fail the pending requests to it."""
         outbox = self.outboxes.pop(peer, None)
         self.link.forget(peer)
         if outbox is not None:
@@ -277,15 +298,15 @@
         for request in list(self.pending.values()):
             if request.peer == peer:
                 request.fail(Step.RECEIVE, "peer forgotten")
-        self.sent_batch.unpark_all()
+        self.batch_finished.unpark_all()
 
-    def _outbox(self, peer: LinkAddress) -> Outbox:
+    def _get_or_create_outbox(self, peer: LinkAddress) -> Outbox:
         outbox = self.outboxes.get(peer)
         if outbox is None:
             outbox = Outbox(idle_since=trio.current_time())
             self.outboxes[peer] = outbox
             if self.nursery is not None:
-                self.nursery.start_soon(self._serve_peer, peer, outbox)
+                self.nursery.start_soon(self._run_send_loop, peer, outbox)
         return outbox
 
     def _has_unsent(self) -> bool:
@@ -301,7 +322,7 @@
         else:
             request.fail(Step.RECEIVE, f"no reply in {timeout} s")
 
-    async def _serve_peer(self, peer: LinkAddress, outbox: Outbox) -> None:
+    async def _run_send_loop(self, peer: LinkAddress, outbox: Outbox) -> None:
         with outbox.scope:
             while True:
                 await outbox.wait()
@@ -309,26 +330,26 @@
                 await self._send_batch(peer, outbox)
                 outbox.sending = False
                 outbox.idle_since = trio.current_time()
-                self.sent_batch.unpark_all()
+                self.batch_finished.unpark_all()
 
     async def _drop_idle_peers(self) -> None:
-        """Drop the state of idle peers, all by one timer: each has none of its own."""
+        """Evict the state of idle peers; one timer serves all of them."""
         while True:
             now = trio.current_time()
-            times = [outbox.drop_at(now) for outbox in self.outboxes.values()]
-            await trio.sleep_until(min(times, default=now + IDLE_TIMEOUT))
+            times = [outbox.idle_deadline(now) for outbox in self.outboxes.values()]
+            await trio.sleep_until(min(times, default=now + PEER_IDLE_TIMEOUT_SECONDS))
             self._drop_idle(trio.current_time())
 
     def _drop_idle(self, now: float) -> None:
-        """Drop idle peers; requests to them still wait for their replies."""
+        """Evict idle peers; the requests to them stay pending."""
         for peer, outbox in list(self.outboxes.items()):
-            if outbox.drop_at(now) <= now:
+            if outbox.idle_deadline(now) <= now:
                 del self.outboxes[peer]
                 outbox.scope.cancel()
                 self.link.forget(peer)
 
     async def _send_batch(self, peer: LinkAddress, outbox: Outbox) -> None:
-        messages, parts = self._take(peer, outbox)
+        messages, parts = self._pop_batch(peer, outbox)
         if not messages:
             return
         envelope = Envelope(
@@ -342,17 +363,20 @@
             case Result(error=error):
                 self._report_unsent(peer, messages, error.detail)
 
-    def _take(
+    def _pop_batch(
         self, peer: LinkAddress, outbox: Outbox
     ) -> tuple[list[AnyMessage], list[msgspec.Raw]]:
-        """Take the next batch: its messages, and each of them encoded."""
+        """Remove and return the next batch: its messages, and each of them encoded.
+
+        Messages that cannot be encoded are reported as unsent.
+        """
         messages: list[AnyMessage] = []
         parts: list[msgspec.Raw] = []
         size = 0
         while outbox.waiting and len(messages) < self.batch:
             message = outbox.waiting[0]
             try:
-                part = _part_encoder.encode(message)
+                part = _message_encoder.encode(message)
             except (ValueError, OverflowError) as error:
                 outbox.waiting.popleft()
                 self._report_unsent(peer, [message], str(error))
@@ -385,35 +409,35 @@
         if self.on_unsent is not None:
             self.on_unsent(peer, messages)
 
-    async def _receive(self) -> None:
+    async def _run_receive_loop(self) -> None:
         while True:
             payload = await self.link.receive()
             self.counters.bytes_received += len(payload)
             match decode_or_error(payload):
                 case Envelope() as envelope:
-                    self._accept(envelope)
+                    self._handle_envelope(envelope)
                 case StepError():
                     self.counters.undecodable += 1
 
-    def _accept(self, envelope: Envelope) -> None:
+    def _handle_envelope(self, envelope: Envelope) -> None:
         self.counters.batches_received += 1
         if self.on_envelope is not None:
             self.on_envelope(envelope)
         sender = LinkAddress(envelope.sender)
         for message in envelope.messages:
             self.counters.received[type(message).__name__] += 1
-            if isinstance(message, REPLIES):
-                self._settle(message)
+            if isinstance(message, REPLY_TYPES):
+                self._complete_request(message)
             else:
                 self.handler(sender, message)
 
-    def _settle(self, reply: AnyMessage) -> None:
-        request = self.pending.get(reply.re)
+    def _complete_request(self, reply: AnyMessage) -> None:
+        request = self.pending.get(reply.request_id)
         if request is None or request.result is not None:
-            self.counters.late += 1
+            self.counters.late_replies += 1
             return
-        request.settle(Ok(reply))
+        request.complete(Ok(reply))
 
 
-def _ignore(sender: LinkAddress, message: AnyMessage) -> None:
-    """Drop a message, as long as there is no handler."""
+def _discard_message(sender: LinkAddress, message: AnyMessage) -> None:
+    """Drop a message; the handler until one is set."""
--- a/bergamotcourse/protocol/messages.py
+++ b/bergamotcourse/protocol/messages.py
@@ -1,9 +1,11 @@
 """The messages between entries and agents, and their codec.
 
 One envelope carries a batch of messages from one process to another. Times are in
-milliseconds on the sender's monotonic clock or, where the name says so, durations.
-The messages are ``msgspec.Struct`` data classes because a tagged union of plain
-data classes cannot be told apart by the decoder.
+milliseconds: times on the sender's monotonic clock or, where the name says so,
+durations. The messages are ``msgspec.Struct`` classes, because the decoder cannot
+distinguish the members of a union of plain data classes.
+
+A request has an ``id``; its reply carries the same number as ``request_id``.
 """
 
 from typing import NamedTuple
@@ -28,26 +30,27 @@
 
 
 class Header(NamedTuple):
-    """One HTTP field."""
+    """One HTTP header field."""
 
     name: str
     value: str
 
 
 class Attach(Message, frozen=True):
-    """An entry asks an agent to report its state to it from now on.
+    """An entry subscribes to the state of an agent.
 
     Attributes:
-        has: The number of the agent's state that the entry has; 0 for none.
+        known_state_number: ``AgentState.number`` of the last state that the entry has
+            received; 0 for none.
     """
 
     entry: str
     zone: str
-    has: int = 0
+    known_state_number: int = 0
 
 
 class Detach(Message, frozen=True):
-    """An entry leaves: the agent stops reporting to it."""
+    """An entry unsubscribes from the state of an agent."""
 
     entry: str
 
@@ -56,15 +59,22 @@
     """Start one task. Refused unless the epoch and the token are current.
 
     Attributes:
-        attempt: Granted by the owner of the range.
-        dispatch: Counts the sends of this task under one attempt, from 1.
-        trace: Id of the request's trace where its steps are logged, else empty.
-        job: The task belongs to a job.
-        weight: Of its team.
-        queue: It may wait for a slot; else it is refused where none is free.
-        wants: The entry wants to be told of a slot that gets free.
-        more: More tasks of jobs wait at the entry.
-        digest: Hash of the whole submission, for those who ask about it later.
+        submission: Id of the submission.
+        index: Index of the task in the submission.
+        attempt: The attempt that the owner of the range granted.
+        dispatch: Number of this dispatch of the task under the attempt, from 1.
+        range: The range of the key space to which the submission belongs.
+        epoch: The epoch of the range.
+        token: The last start token that the agent issued to the entry; it expires.
+        timeout_ms: Timeout of the task.
+        trace: Trace id of the request if its steps are logged, else empty.
+        job: Whether the task belongs to a job.
+        weight: Weight of the team.
+        queue: Whether the task may be queued; otherwise it is refused if no slot is
+            free.
+        wants_slots: Whether the entry wants to be notified when a slot becomes free.
+        more_job_tasks: Whether more tasks of jobs are queued at the entry.
+        digest: Hash of the whole submission, kept in the start log for later queries.
     """
 
     submission: bytes
@@ -85,13 +95,13 @@
     job: bool = False
     weight: float = 1.0
     queue: bool = True
-    wants: bool = False
-    more: bool = True
+    wants_slots: bool = False
+    more_job_tasks: bool = True
     digest: bytes = b""
 
 
 class CancelledTasks(msgspec.Struct, frozen=True, array_like=True):
-    """Tasks of one submission that are cancelled, started or not."""
+    """Tasks of one submission that are cancelled, whether started or not."""
 
     submission: bytes
     attempt: int
@@ -99,18 +109,18 @@
 
 
 class Cancel(Message, frozen=True):
-    """Cancel tasks; an agent sends no results of those that it finds."""
+    """Cancel tasks; the agent sends no results of those that it knows."""
 
     tasks: list[CancelledTasks]
 
 
 class Health(msgspec.Struct, frozen=True, array_like=True):
-    """How the tasks of one service fare at an agent.
+    """The health of one service at an agent.
 
     Attributes:
-        run_ms: The usual run time in milliseconds; 0 while it is not known.
-        failing: Percentage of tasks that fail, of late.
-        ended: Tasks that ended, modulo 65,536.
+        run_ms: The typical run time in milliseconds; 0 while unknown.
+        failing: Percentage of recent tasks that failed.
+        ended: Number of tasks that ended, modulo 65,536.
     """
 
     run_ms: int
@@ -119,13 +129,15 @@
 
 
 class AgentLoad(Message, frozen=True):
-    """An agent's load: rides in results, and is a heartbeat when idle.
+    """An agent's load: piggybacked on results, and the heartbeat of an idle agent.
 
     Attributes:
-        number: Of the ``AgentState`` that the rest stands in.
-        loads: Running, waiting, mine, and the tasks of jobs among the waiting, of each
-            offer of that state, in its order.
-        health: Of the tasks of each offer.
+        number: ``AgentState.number`` of the state whose offers the load refers to.
+        token: A new start token.
+        loads: For each offer of that state, in its order: the running tasks, the
+            waiting tasks, the receiver's tasks among both, and the tasks of jobs among
+            the waiting.
+        health: The health of the service of each offer, in the same order.
     """
 
     number: int
@@ -135,15 +147,20 @@
 
 
 class TaskResult(Message, frozen=True):
-    """What became of one task.
+    """The outcome of one task.
 
     Attributes:
-        stale_token: Refused only for its token; the load has a new one.
-        load: Of the agent, after this task; ``None`` where its state goes out instead,
-            and but for the last of a batch.
-        full: Refused only as no slot was free.
-        newer_epoch: Refused as the agent knows a newer epoch of the range.
-        barred: Refused as the attempt is barred.
+        status: HTTP status of the upstream's response.
+        detail: A human-readable reason.
+        run_ms: Run time at the upstream.
+        wait_ms: Time in the agent's queue.
+        stale_token: Refused only because the start token has expired; ``load`` has a
+            new one.
+        load: The agent's load after this task. Set only in the last result of a batch,
+            and ``None`` there too if an ``AgentState`` is sent instead.
+        no_free_slot: Refused only because no slot was free.
+        newer_epoch: Refused because the agent knows a newer epoch of the range.
+        barred: Refused because the attempt is barred.
     """
 
     submission: bytes
@@ -159,33 +176,34 @@
     wait_ms: float = 0.0
     stale_token: bool = False
     load: AgentLoad | None = None
-    full: bool = False
+    no_free_slot: bool = False
     newer_epoch: bool = False
     barred: bool = False
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True):
-    """What an agent offers for one service.
+    """The capacity and load of an agent for one service.
 
     Attributes:
-        running: Tasks at upstreams, of all entries.
-        waiting: Tasks waiting for a slot, of all entries.
-        mine: Of both, the tasks of the entry that is told.
+        running: Tasks of all entries that run at upstreams.
+        waiting: Tasks of all entries that wait for a slot.
+        receiver_tasks: Of both, the tasks of the entry that receives the message.
     """
 
     service: str
     slots: int
     running: int
     waiting: int
-    mine: int
+    receiver_tasks: int
 
 
 class UpstreamOffer(msgspec.Struct, frozen=True, array_like=True):
     """One upstream of an agent.
 
     Attributes:
-        zone: Its availability zone, or nothing where it is the agent's.
-        closed: The agent gives it nothing new, as an entry told it.
+        zone: Its availability zone; empty if it is the agent's.
+        closed: The agent starts no new tasks there, because an entry told it so in
+            ``CloseUpstreams``.
     """
 
     id: str
@@ -197,12 +215,16 @@
 
 
 class AgentState(Message, frozen=True):
-    """An agent's whole state, told when an entry attaches and after each change.
+    """An agent's full state, sent when an entry attaches and after each change.
 
     Attributes:
-        upstreams: Those that are announced and not leaving.
-        closed_version: The version of the configuration by which some are closed.
-        number: Rises with each change of what ``AgentLoad`` leaves out.
+        boot: Random number of the agent's process.
+        token: A new start token.
+        leaving: Whether the agent is shutting down.
+        upstreams: The upstreams that are announced and not leaving.
+        closed_version: The configuration version that determines which upstreams are
+            closed.
+        number: Incremented with each change of anything that ``AgentLoad`` omits.
     """
 
     agent: str
@@ -219,7 +241,7 @@
 
 
 class Fence(Message, frozen=True):
-    """Refuse starts of older epochs from now on, and report what was started.
+    """Refuse starts under older epochs from now on, and report the start log.
 
     Attributes:
         ranges: Pairs of a range and its new epoch.
@@ -246,18 +268,19 @@
 
 
 class StartLogReply(Message, frozen=True):
-    """Answer to ``Fence``: every start of those ranges that the agent knows of.
+    """Reply to ``Fence``: every start in those ranges that the agent knows of.
 
     Attributes:
-        up_ms: For how long this process has run: what an earlier one started is
-            not known.
-        first: No earlier process had this agent's identity.
+        uptime_ms: How far back the start log reaches; starts before that, for example
+            by an earlier process, are not known.
+        first: The log is complete: it covers the whole run of this process, and no
+            earlier process had this agent's identity.
     """
 
-    re: int
+    request_id: int
     agent: str
     boot: int
-    up_ms: int
+    uptime_ms: int
     first: bool
     records: list[StartRecord]
 
@@ -266,7 +289,7 @@
     """Refuse starts of a submission up to an attempt, and report its tasks.
 
     Attributes:
-        attempt: 0 refuses nothing and only asks.
+        attempt: Highest attempt to refuse; 0 refuses nothing and only queries.
     """
 
     id: int
@@ -275,17 +298,19 @@
 
 
 class BarReply(Message, frozen=True):
-    """Answer to ``Bar``: tasks started, with the results that are still kept.
+    """Reply to ``Bar``: the started tasks, with the results that are still kept.
 
     Attributes:
+        uptime_ms: As in ``StartLogReply``.
+        first: As in ``StartLogReply``.
         running: Those of the started tasks that have no result yet.
-        digest: Hash of the submission as started here; empty where none was.
+        digest: Hash of the submission as started here; empty if none was started.
     """
 
-    re: int
+    request_id: int
     agent: str
     boot: int
-    up_ms: int
+    uptime_ms: int
     first: bool
     started: list[int]
     results: list[TaskResult]
@@ -297,18 +322,20 @@
     """An entry asks the owner of a range for the right to start a submission.
 
     Attributes:
-        digest: Hash of the request; a second claim must carry the same.
-        key_epoch: The epoch that a handed-out key names, or 0.
-        made_ms: The time that the key carries: on its owner's clock where it was
-            handed out, else Unix milliseconds; 0 where it carries none.
+        digest: Hash of the request; a repeated claim must carry the same hash.
+        key_epoch: The epoch in a handed-out key, or 0.
+        made_ms: The time in the key: on the clock of the range's owner if the key was
+            handed out, otherwise Unix milliseconds; 0 if the key has no time.
         write_ahead: Journal the claim before granting it.
-        proved_attempt: Proved by the claimant: no task of this attempt, as joined by
-            ``proved_grant``, started, and none can; 0 for none.
-        lookup: Only tell who holds the claim; make none.
-        run: Random number of the run that the claim is for: a claim that is sent
-            again, since its reply was lost, has the same.
-        held_attempt: The attempt that the claimant already runs, to renew its
-            validity; 0 for none.
+        proved_attempt: An attempt of which the claimant has proved that none of its
+            tasks has started or can start, up to the grant ``proved_grant``; 0 for
+            none.
+        lookup: Only report who holds the claim, without making one.
+        proved_grant: Number of the newest grant that the proof covers.
+        run: Random number of the run that the claim is for. A claim that is sent
+            again after a lost reply has the same number.
+        held_attempt: The attempt that the claimant already runs and whose validity it
+            renews; 0 for none.
     """
 
     id: int
@@ -327,25 +354,27 @@
 
 
 class Granted(Message, frozen=True):
-    """The claim is granted: the claimant may start until the validity ends."""
+    """The claim is granted: the claimant may start tasks for ``valid_ms``."""
 
-    re: int
+    request_id: int
     epoch: int
     attempt: int
     valid_ms: int
 
 
 class Joined(Message, frozen=True):
-    """Another entry holds the claim: ask it for the answer.
+    """Another entry holds the claim and can be asked for the answer.
 
     Attributes:
-        age_ms: Since the claim was made, at the most.
+        entry: The entry that holds the claim.
+        address: Its link address.
+        age_ms: Upper bound of the time since the claim was made.
         grant: Number of the newest grant of the attempt.
-        settled_ms: After so long no start of the attempt can be admitted any more;
-            negative while the claimant is known to run it.
+        settled_ms: Time after which no start of the attempt can be admitted any more;
+            negative while the claimant is known to run the attempt.
     """
 
-    re: int
+    request_id: int
     entry: str
     address: str
     attempt: int
@@ -358,12 +387,13 @@
     """The claim is refused.
 
     Attributes:
-        outcome: ``NOT_RUN`` where that is proved, else ``UNKNOWN``.
-        conflict: The key was used with another request.
-        retry_after_ms: When the same claim may be answered otherwise; 0 for never.
+        outcome: ``NOT_RUN`` if that is proved, otherwise ``UNKNOWN``.
+        conflict: The key was used with a different request.
+        retry_after_ms: Time after which a retry of the claim may get a different
+            reply; 0 for never.
     """
 
-    re: int
+    request_id: int
     outcome: Outcome
     conflict: bool
     detail: str
@@ -371,10 +401,10 @@
 
 
 class Finished(Message, frozen=True):
-    """The claimant tells the owner that a submission has its final outcome.
+    """The claimant reports the final outcome of a submission to the owner.
 
     Attributes:
-        id: 0 where no reply is wanted.
+        id: 0 if no reply is wanted.
     """
 
     submission: bytes
@@ -385,21 +415,23 @@
 
 
 class FinishedReply(Message, frozen=True):
-    """Answer to ``Finished``.
+    """Reply to ``Finished``.
 
     Attributes:
-        held: The claimant held the claim until now, and no one else has run it.
+        held: The claimant held the claim until now, and no other entry has run the
+            submission.
     """
 
-    re: int
+    request_id: int
     held: bool
 
 
 class AskAnswer(Message, frozen=True):
-    """An entry that joined asks the claimant for the answer, and waits.
+    """An entry that joined a submission asks the claimant for the answer.
 
     Attributes:
-        digest: Hash of the request that joined; empty for any.
+        wait_ms: How long the claimant may wait for the answer before it replies.
+        digest: Hash of the request that joined; empty to accept any.
     """
 
     id: int
@@ -413,12 +445,12 @@
     """The claimant's answer to a joined submission.
 
     Attributes:
-        known: False where the claimant does not know the submission.
-        running: True where it still runs after the asked wait.
-        conflict: The claimant runs another request under the key.
+        known: False if the claimant does not know the submission.
+        running: True if the submission is still running after ``AskAnswer.wait_ms``.
+        conflict: The claimant runs a different request under the key.
     """
 
-    re: int
+    request_id: int
     known: bool
     running: bool
     results: list[TaskResult]
@@ -426,7 +458,7 @@
 
 
 class AskPromise(Message, frozen=True):
-    """An owner asks its successor not to take over for a while."""
+    """The owner of a lease asks its successor to defer a takeover."""
 
     id: int
     entry: str
@@ -434,19 +466,24 @@
 
 
 class Promise(Message, frozen=True):
-    """The successor's answer: for so long, from now, it does not take over."""
+    """Reply to ``AskPromise``.
+
+    Attributes:
+        promised_ms: Time from now during which the successor does not take over; 0 if
+            it promises nothing.
+    """
 
-    re: int
+    request_id: int
     promised_ms: int
 
 
 class ConfigAsk(Message, frozen=True):
-    """A process asks another for the configuration that it lacks.
+    """A process requests the configuration changes that it does not have yet.
 
     Attributes:
-        since: The version in force at the asker.
-        version: Of the snapshot whose next part is wanted; 0 for any answer.
-        offset: Bytes of that snapshot that the asker has.
+        since: The version in force at the requester.
+        version: Version of the snapshot whose next part is requested; 0 for any reply.
+        offset: Bytes of that snapshot that the requester already has.
     """
 
     id: int
@@ -456,30 +493,30 @@
 
 
 class ConfigRecords(Message, frozen=True):
-    """Answer to ``ConfigAsk``: the records that follow the asked version.
+    """Reply to ``ConfigAsk``: the records that follow the version ``since``.
 
     Attributes:
         version: The version in force at the sender.
-        records: Encoded records; none where the sender has nothing newer.
+        records: Encoded records; empty if the sender has nothing newer.
     """
 
-    re: int
+    request_id: int
     version: int
     records: list[bytes]
 
 
 class ConfigPart(Message, frozen=True):
-    """Answer to ``ConfigAsk``: a part of the whole configuration.
+    """Reply to ``ConfigAsk``: a part of a snapshot of the configuration.
 
     Attributes:
-        version: Of the snapshot.
-        record: The record of that version, encoded.
-        offset: Where the part begins.
-        size: Bytes of the whole manifest.
-        content: The part.
+        version: Version of the snapshot.
+        record: The encoded record of that version.
+        offset: Offset of the part in the manifest, in bytes.
+        size: Size of the whole manifest in bytes.
+        content: The bytes of the part.
     """
 
-    re: int
+    request_id: int
     version: int
     record: bytes
     offset: int
@@ -488,11 +525,11 @@
 
 
 class ConfigOffer(Message, frozen=True):
-    """A process tells another of a newly accepted configuration.
+    """A process notifies another of a newly accepted configuration.
 
     Attributes:
         version: The version in force at the sender.
-        records: The newest records, encoded; none where they are too long.
+        records: The newest records, encoded; empty if they are too long.
     """
 
     id: int
@@ -501,18 +538,19 @@
 
 
 class ConfigHave(Message, frozen=True):
-    """Answer to ``ConfigOffer``: the version in force at the receiver by now."""
+    """Reply to ``ConfigOffer``: the version now in force at the receiver."""
 
-    re: int
+    request_id: int
     version: int
 
 
 class CloseUpstreams(Message, frozen=True):
-    """An entry tells an agent which of its upstreams get nothing new.
+    """An entry tells an agent which of its upstreams get no new tasks.
 
     Attributes:
-        version: Of the configuration that says so; an older one changes nothing.
-        upstreams: All that are closed; the others are open.
+        version: The configuration version that this follows from; the agent ignores
+            older versions than the last.
+        upstreams: All closed upstreams; the others are open.
     """
 
     version: int
@@ -562,7 +600,7 @@
 
     Attributes:
         schema: ``SCHEMA_VERSION`` of the sender.
-        sender: The link address of the sender, where replies go.
+        sender: The link address of the sender, to which replies are sent.
         config: The version of the configuration in force at the sender.
     """
 
@@ -577,18 +615,21 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the envelope as bytes."""
+    """Return the encoded envelope."""
     return _encoder.encode(envelope)
 
 
 def decode(payload: bytes) -> Result[Envelope, StepError]:
-    """Return the envelope in a payload, or why it is none."""
+    """Return the envelope in a payload, or an error of step ``DECODE``."""
     decoded = decode_or_error(payload)
     return Error(decoded) if isinstance(decoded, StepError) else Ok(decoded)
 
 
 def decode_or_error(payload: bytes) -> Envelope | StepError:
-    """Decode without a ``Result``, which costs twice the decoding of one message."""
+    """Return the same as ``decode`` without a ``Result``.
+
+    Wrapping in a ``Result`` costs twice as much as decoding one message.
+    """
     try:
         envelope = _decoder.decode(payload)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
--- a/bergamotcourse/protocol/outcome.py
+++ b/bergamotcourse/protocol/outcome.py
@@ -4,13 +4,13 @@
 
 
 class Outcome(Enum):
-    """What became of a task, as told to the caller.
+    """The final outcome of a task, as reported to the caller.
 
     Attributes:
-        DONE: It ran and the upstream answered.
-        FAILED: It ran and the upstream answered with an error.
-        NOT_RUN: It is proved that it did not start.
-        UNKNOWN: It may have started.
+        DONE: The task ran and the upstream answered.
+        FAILED: The task ran and the upstream answered with an error.
+        NOT_RUN: The task is proved not to have started.
+        UNKNOWN: The task may have started.
     """
 
     DONE = "done"
--- a/bergamotcourse/protocol/platform.py
+++ b/bergamotcourse/protocol/platform.py
@@ -1,8 +1,8 @@
 """The interface of the platform's transactional table and object store.
 
-The table has one version counter. Each committed transaction raises it by one and
-stamps all rows it wrote with it, so that "all rows changed since version V" is
-always a well-defined question. A deleted row stays as a tombstone.
+The table has one version counter. Each committed transaction increments it and stores
+the new version with every row that it wrote, so that the rows changed since a given
+version are well defined. A deleted row remains as a tombstone.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 from bergamotcourse.errors import StepError
 
 ABSENT = 0
-"""As an expected version: the row must not exist."""
+"""The version of a row that does not exist."""
 
 
 @dataclass(frozen=True)
@@ -21,7 +21,8 @@
     """One row.
 
     Attributes:
-        version: The table's version at the row's last change; ``ABSENT`` if none.
+        version: The table's version at the row's last change; ``ABSENT`` if the row
+            never existed.
         value: The content, or ``None`` for a deleted or missing row.
     """
 
@@ -35,10 +36,10 @@
     """One conditional write.
 
     Attributes:
-        value: The new content; ``None`` deletes.
-        expected: The version that the row must have, ``ABSENT`` for no row (or a
-            deleted one); ``None`` writes unconditionally.
-        check_only: Verify ``expected`` and leave the row as it is.
+        value: The new content; ``None`` deletes the row.
+        expected: The version that the row must have; ``ABSENT`` if the row must be
+            missing or deleted; ``None`` to write unconditionally.
+        check_only: Verify ``expected`` without changing the row.
     """
 
     key: str
@@ -49,21 +50,21 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """All writes of the transaction took effect at this version."""
+    """All writes of the transaction took effect, at this version of the table."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class Conflict:
-    """Nothing was written: these rows did not have the expected versions."""
+    """Nothing was written; these rows did not have their expected versions."""
 
     rows: list[Row]
 
 
 @dataclass(frozen=True)
 class Changes:
-    """Rows changed since a version, tombstones included, and the version now."""
+    """Rows changed since a version, with tombstones, and the current version."""
 
     version: int
     rows: list[Row]
@@ -74,19 +75,20 @@
     """A call to the platform failed.
 
     Attributes:
-        took_effect: ``False`` where it certainly did not, ``None`` where unknown.
+        took_effect: ``False`` if the call certainly had no effect, ``None`` if that
+            is unknown.
     """
 
     took_effect: bool | None = None
 
 
 class Platform(Protocol):
-    """The table and the object store, as every part of the product sees them."""
+    """The table and the object store."""
 
     async def transact(
         self, writes: list[Write]
     ) -> Result[Committed | Conflict, PlatformError]:
-        """Apply all writes or none."""
+        """Apply all writes atomically, or none if any expected version differs."""
 
     async def get(self, keys: list[str]) -> Result[list[Row], PlatformError]:
         """Return one row for each key, in order; missing rows are ``ABSENT``."""
@@ -99,7 +101,7 @@
     async def put_object(
         self, name: str, content: bytes
     ) -> Result[None, PlatformError]:
-        """Store an object; the same name with the same content may be put again."""
+        """Store an object; storing the same content again under its name succeeds."""
 
     async def get_object(self, name: str) -> Result[bytes | None, PlatformError]:
-        """Return an object, or ``None`` for no such object."""
+        """Return an object, or ``None`` if it does not exist."""
--- a/bergamotcourse/protocol/platform_channel.py
+++ b/bergamotcourse/protocol/platform_channel.py
@@ -22,12 +22,12 @@
 
 
 class Requester(Protocol):
-    """The part of the HTTP client that calls need."""
+    """The interface of the HTTP client that the channel uses."""
 
     async def request(
         self, request: HttpRequest, timeout: float
     ) -> Result[HttpResponse, HttpError]:
-        """Send a request and return its answer; the timeout is in seconds."""
+        """Send a request and return its response; the timeout is in seconds."""
 
     async def aclose(self) -> None:
         """Close the connections."""
@@ -38,23 +38,23 @@
     """The failure of a single call.
 
     Attributes:
-        status: The answer's status, 0 for no answer.
-        retry: Whether the same call may succeed a moment later.
+        status: HTTP status of the response, 0 if there was no response.
+        retryable: Whether a retry of the same call may succeed.
     """
 
     status: int = 0
-    retry: bool = True
+    retryable: bool = True
 
-    def final(self, took_effect: bool | None) -> PlatformError:
-        """Return the error of the whole call."""
+    def to_platform_error(self, took_effect: bool | None) -> PlatformError:
+        """Return the error of the call after its last attempt."""
         return PlatformError(self.step, self.peer, self.detail, took_effect)
 
 
 class PlatformChannel:
-    """Makes single calls in the name of one client.
+    """Makes single calls on behalf of one client.
 
     Attributes:
-        client: The name that the platform sees.
+        client: The client's name, which is sent with each call.
         peer: The platform's name in errors.
     """
 
@@ -69,37 +69,43 @@
     async def call(
         self, method: str, target: str, body: bytes, timeout: float
     ) -> Result[bytes, CallError]:
-        """Make one call and return the body of a successful answer.
+        """Make one call and return the body of a successful response.
 
         Args:
             method: The HTTP method.
             target: Path and query.
             body: The request's body.
-            timeout: In seconds.
+            timeout: Timeout in seconds.
 
         Returns:
-            The answer's body, or an error that tells whether the call took effect.
+            The response's body, or an error that says whether the call took effect.
         """
         permit = self.breaker.acquire()
         if permit is None:
-            return Error(self.error("circuit breaker open", False, retry=False))
+            return Error(self.error("circuit breaker open", False, retryable=False))
         headers = [CONTENT_TYPE, (CLIENT_HEADER, self.client)]
         request = HttpRequest(method, target, headers, body)
         response = await self._request(request, timeout, permit)
-        return response.map_error(self._unsent).bind(self._check)
+        return response.map_error(self._transport_error).bind(self._check_status)
 
     def decode(self, kind: type[T], body: bytes) -> Result[T, CallError]:
-        """Return a decoded body; an undecodable one leaves the outcome unknown."""
+        """Return the decoded body; if undecodable, the call's effect is unknown."""
         try:
             return Ok(msgspec.msgpack.decode(body, type=kind))
         except msgspec.DecodeError as error:
-            return Error(self.error(f"undecodable answer: {error}", None, retry=False))
+            return Error(
+                self.error(f"undecodable answer: {error}", None, retryable=False)
+            )
 
     def error(
-        self, detail: str, took_effect: bool | None, status: int = 0, retry: bool = True
+        self,
+        detail: str,
+        took_effect: bool | None,
+        status: int = 0,
+        retryable: bool = True,
     ) -> CallError:
-        """Return an error of this channel."""
-        return CallError(Step.STORE, self.peer, detail, took_effect, status, retry)
+        """Return an error with this channel's peer."""
+        return CallError(Step.STORE, self.peer, detail, took_effect, status, retryable)
 
     async def _request(
         self, request: HttpRequest, timeout: float, permit: Permit
@@ -115,22 +121,22 @@
             self.breaker.fail(permit)
         return response
 
-    def _unsent(self, error: HttpError) -> CallError:
+    def _transport_error(self, error: HttpError) -> CallError:
         took_effect = False if error.sent is Sent.NOTHING else None
         return self.error(f"{error.step.value}: {error.detail}", took_effect)
 
-    def _check(self, response: HttpResponse) -> Result[bytes, CallError]:
+    def _check_status(self, response: HttpResponse) -> Result[bytes, CallError]:
         if response.status == STATUS_OK:
             return Ok(response.body)
-        retry = response.status >= STATUS_SERVER_ERROR
-        failure = _failure(response, None if retry else False)
+        retryable = response.status >= STATUS_SERVER_ERROR
+        failure = _decode_failure(response, None if retryable else False)
         return Error(
-            self.error(failure.detail, failure.took_effect, response.status, retry)
+            self.error(failure.detail, failure.took_effect, response.status, retryable)
         )
 
 
-def _failure(response: HttpResponse, took_effect: bool | None) -> Failure:
-    """Return the failure in a body, or one for a body that is not the platform's."""
+def _decode_failure(response: HttpResponse, took_effect: bool | None) -> Failure:
+    """Return the failure in a body, or one made from the status if undecodable."""
     try:
         return msgspec.msgpack.decode(response.body, type=Failure)
     except msgspec.DecodeError:
--- a/bergamotcourse/protocol/platform_client.py
+++ b/bergamotcourse/protocol/platform_client.py
@@ -1,7 +1,8 @@
 """The platform over HTTP, with timeouts, retries and a circuit breaker.
 
-Reads, and objects whose content never changes, are simply sent again. A transaction
-is not: see ``platform_transaction`` for what is done after an unknown outcome.
+Reads, and writes of objects, whose content never changes, are idempotent and are
+retried. A transaction is not idempotent; ``platform_transaction`` describes what
+happens after an unknown outcome.
 """
 
 import random
@@ -51,8 +52,8 @@
 
     Attributes:
         breaker_failures: Consecutive failures that open the circuit breaker.
-        breaker_pause: From its opening until a probe.
-        page_limit: Rows to ask for in one page of changes.
+        breaker_pause: Time from the opening of the breaker until a probe.
+        page_limit: Number of rows requested in one page of changes.
     """
 
     breaker_failures: int = 5
@@ -64,15 +65,16 @@
     """Implements ``Platform`` over HTTP.
 
     A transaction carries a writer id, which the platform stores with each written
-    row, so that after a lost answer the client can read back whose write is in
-    force. ``transact`` reports ``took_effect`` as ``False`` only if no copy of the
-    transaction can have reached the platform or each was refused without effect.
+    row. After a lost answer the client reads a row back and sees which transaction
+    wrote it last. ``transact`` reports ``took_effect`` as ``False`` only if no copy of
+    the transaction can have reached the platform, or every copy was refused without
+    effect.
 
-    Each call takes at most ``settings.timeout``, but for ``read_since``, where this
-    holds for each page.
+    Each call takes at most ``settings.timeout``, except for ``read_since``, where the
+    timeout holds for each page.
 
     Attributes:
-        breaker: Shared by all calls.
+        breaker: Circuit breaker shared by all calls.
     """
 
     def __init__(
@@ -83,14 +85,14 @@
         settings: PlatformClientSettings | None = None,
         rng: random.Random | None = None,
     ):
-        """Make a client.
+        """Initialise the client.
 
         Args:
             http: Sends the requests.
-            client: The name of this process, for the platform's records.
+            client: The name of this process, which is sent with each call.
             peer: The platform's name in errors.
             settings: The limits.
-            rng: Source of the backoff's jitter.
+            rng: Source of the jitter of the backoff.
         """
         self.settings = settings or PlatformClientSettings()
         self.rng = rng or random.Random()
@@ -108,7 +110,7 @@
         settings: PlatformClientSettings | None = None,
         rng: random.Random | None = None,
     ) -> "PlatformClient":
-        """Return a client of the platform at an IP number and a port."""
+        """Return a client of the platform at an IP address and port."""
         http = HttpClient(host, port)
         return cls(http, client, http.peer, settings, rng)
 
@@ -119,7 +121,7 @@
     async def transact(
         self, writes: list[Write]
     ) -> Result[Committed | Conflict, PlatformError]:
-        """Apply all writes or none."""
+        """Apply all writes atomically, or none if any expected version differs."""
         call = TransactCall(secrets.token_hex(WRITER_ID_BYTES), writes)
         attempts = self._attempts()
         return await Transaction(self.channel, self._get_stored, call, attempts).run()
@@ -134,13 +136,13 @@
     ) -> Result[Changes, PlatformError]:
         """Return the rows under a prefix that changed after a version.
 
-        Rows that change while pages are read count with their last state.
+        A row that changes while pages are read is returned once, in its last state.
         """
         rows: dict[str, Row] = {}
         while True:
             read = await self._read_page(prefix, version)
             if read.is_error():
-                return Error(read.error.final(False))
+                return Error(read.error.to_platform_error(False))
             page = read.ok
             version = page.version
             for row in page.rows:
@@ -152,45 +154,51 @@
     async def put_object(
         self, name: str, content: bytes
     ) -> Result[None, PlatformError]:
-        """Store an object; fails if the name has another content already."""
+        """Store an object; fails if the name already has different content."""
         attempts = self._attempts()
-        put = await self._retry("PUT", object_target(name), content, attempts)
+        put = await self._call_with_retries(
+            "PUT", object_target(name), content, attempts
+        )
         if put.is_ok():
             return Ok(None)
         refused = put.error.status == STATUS_CONFLICT
-        return Error(put.error.final(False if refused else put.error.took_effect))
+        return Error(
+            put.error.to_platform_error(False if refused else put.error.took_effect)
+        )
 
     async def get_object(self, name: str) -> Result[bytes | None, PlatformError]:
-        """Return an object, or ``None`` for no such object."""
+        """Return an object, or ``None`` if it does not exist."""
         attempts = self._attempts()
-        got = await self._retry("GET", object_target(name), b"", attempts)
+        got = await self._call_with_retries("GET", object_target(name), b"", attempts)
         if got.is_error() and got.error.status == STATUS_NOT_FOUND:
             return Ok(None)
-        return got.map_error(lambda error: error.final(False))
+        return got.map_error(lambda error: error.to_platform_error(False))
 
     async def _get_stored(
         self, keys: list[str], deadline: float | None = None
     ) -> Result[list[StoredRow], PlatformError]:
         body = msgspec.msgpack.encode(GetCall(keys))
         attempts = self._attempts(deadline)
-        answer = await self._retry("POST", GET_TARGET, body, attempts)
+        answer = await self._call_with_retries("POST", GET_TARGET, body, attempts)
         decoded = answer.bind(partial(self.channel.decode, GetAnswer))
         return decoded.map(lambda got: got.rows).map_error(
-            lambda error: error.final(False)
+            lambda error: error.to_platform_error(False)
         )
 
     async def _read_page(
         self, prefix: str, version: int
     ) -> Result[SincePage, CallError]:
         query = SinceQuery(prefix, version, self.settings.page_limit)
-        answer = await self._retry("GET", query.target(), b"", self._attempts())
+        answer = await self._call_with_retries(
+            "GET", query.target(), b"", self._attempts()
+        )
         return answer.bind(partial(self.channel.decode, SincePage))
 
-    async def _retry(
+    async def _call_with_retries(
         self, method: str, target: str, body: bytes, attempts: Attempts
     ) -> Result[bytes, CallError]:
-        """Send an idempotent call until it succeeds or its attempts are used up."""
-        unknown = False
+        """Send an idempotent call until it succeeds or its attempts are exhausted."""
+        outcome_unknown = False
         while True:
             answer = await self.channel.call(
                 method, target, body, attempts.attempt_timeout()
@@ -198,9 +206,11 @@
             if answer.is_ok():
                 return answer
             error = answer.error
-            unknown = unknown or error.took_effect is None
-            if not error.retry or not await attempts.another():
-                return Error(replace(error, took_effect=None if unknown else False))
+            outcome_unknown = outcome_unknown or error.took_effect is None
+            if not error.retryable or not await attempts.wait_for_retry():
+                return Error(
+                    replace(error, took_effect=None if outcome_unknown else False)
+                )
 
     def _attempts(self, deadline: float | None = None) -> Attempts:
         return Attempts(self.settings, self.rng, deadline)
--- a/bergamotcourse/protocol/platform_transaction.py
+++ b/bergamotcourse/protocol/platform_transaction.py
@@ -1,25 +1,27 @@
 """One transaction over calls whose answers may be lost.
 
 Each transaction has a unique writer id, which the platform stores with each row that
-the transaction writes. An answer to the transaction itself is final. After a call
-with unknown outcome the transaction is never sent again blindly; one written row
-(the witness) is read back first:
-
-* Its writer is ours: the transaction is committed at the row's version.
-* It still has the version that we expected: no copy has taken effect so far. The
-  same transaction, with the same writer id, is sent again.
-* Else another transaction wrote the row. That looks like a conflict, but ours may
-  have taken effect first and been overwritten: the outcome stays unknown.
-
-A delayed first copy may still be under way when the second is sent. At most one of
-them takes effect, because both expect the same version of the witness, and because
-the platform answers a repeated writer id with its first verdict, commit or conflict.
-For the latter the platform must remember writer ids for longer than a call can be
-under way. For this reason too, an outcome that was once unknown is never reported
-as "did not take effect" on the evidence of a read.
-
-A transaction without a conditional write has no such guard and is not sent again
-after an unknown outcome. One that only checks changes nothing and needs no read.
+the transaction writes. The platform's answer to the transaction is final. After a call
+with unknown outcome, the transaction is not retried until one of its written rows (the
+witness) has been read back:
+
+* The row's writer is this transaction: it is committed at the row's version.
+* The row still has the expected version: no copy has taken effect so far. The same
+  transaction is sent again with the same writer id.
+* Otherwise another transaction wrote the row. This looks like a conflict, but this
+  transaction may have taken effect first and been overwritten, so its outcome remains
+  unknown.
+
+A delayed first copy may still be in flight when the second is sent. At most one of them
+takes effect, because both expect the same version of the witness, and because the
+platform answers a repeated writer id with its first verdict, commit or conflict. The
+latter requires that the platform remembers writer ids for longer than a call can be in
+flight. For the same reason, a read never turns an outcome that was once unknown into
+"did not take effect".
+
+A transaction without a conditional write has no such guard and is not retried after an
+unknown outcome. A transaction that only checks versions changes nothing and is retried
+without a read.
 """
 
 from collections.abc import Awaitable, Callable
@@ -49,27 +51,27 @@
 ReadStored = Callable[
     [list[str], float], Awaitable[Result[list[StoredRow], PlatformError]]
 ]
-"""Reads rows until a deadline on trio's clock."""
+"""Reads the rows of some keys, with a deadline on trio's clock."""
 
 
-class Evidence(Enum):
-    """What the witness tells of a transaction that it does not show committed.
+class ReadBackEvidence(Enum):
+    """What the witness shows of a transaction that it does not prove committed.
 
     Attributes:
-        NOT_YET: No copy of it took effect so far.
-        NONE: It may have taken effect or not.
+        NOT_APPLIED_YET: No copy of the transaction has taken effect so far.
+        INCONCLUSIVE: The transaction may or may not have taken effect.
     """
 
-    NOT_YET = "not_yet"
-    NONE = "none"
+    NOT_APPLIED_YET = "not_yet"
+    INCONCLUSIVE = "none"
 
 
 class Transaction:
-    """One transaction, until its outcome is known or its attempts are used up.
+    """One transaction, until its outcome is known or its attempts are exhausted.
 
     Attributes:
-        call: The same in each copy.
-        unknown: An earlier copy may have taken effect, or may yet do so.
+        call: The call, which is identical in each copy.
+        outcome_unknown: An earlier copy may have taken effect, or may still do so.
     """
 
     def __init__(
@@ -84,22 +86,26 @@
         self.call = call
         self.attempts = attempts
         self.witness = find_witness(call.writes)
-        self.unknown = False
+        self.outcome_unknown = False
 
     async def run(self) -> Result[Verdict, PlatformError]:
-        """Return the verdict, or an error that tells what may have happened."""
+        """Return the verdict, or an error that says whether it may have had effect."""
         while True:
             sent = await self._send()
             if sent.is_ok():
                 return Ok(sent.ok)
             error = sent.error
-            self.unknown = self.unknown or error.took_effect is None
+            self.outcome_unknown = self.outcome_unknown or error.took_effect is None
             evidence = await self._read_back()
             if isinstance(evidence, Committed):
                 return Ok(evidence)
-            again = error.retry and evidence is Evidence.NOT_YET
-            if not again or not await self.attempts.another():
-                return Error(error.final(None if self.unknown else False))
+            may_resend = (
+                error.retryable and evidence is ReadBackEvidence.NOT_APPLIED_YET
+            )
+            if not may_resend or not await self.attempts.wait_for_retry():
+                return Error(
+                    error.to_platform_error(None if self.outcome_unknown else False)
+                )
 
     async def _send(self) -> Result[Verdict, CallError]:
         body = msgspec.msgpack.encode(self.call)
@@ -109,32 +115,37 @@
         decoded = answer.bind(partial(self.channel.decode, TransactAnswer))
         return decoded.map(TransactAnswer.verdict)
 
-    async def _read_back(self) -> Committed | Evidence:
-        if not self.unknown or self.witness is None:
-            return Evidence.NOT_YET
+    async def _read_back(self) -> Committed | ReadBackEvidence:
+        if not self.outcome_unknown or self.witness is None:
+            return ReadBackEvidence.NOT_APPLIED_YET
         rows = await self.read_stored([self.witness.key], self.attempts.deadline)
         if rows.is_error():
-            return Evidence.NONE
-        return judge(self.witness, rows.ok[0], self.call.writer)
+            return ReadBackEvidence.INCONCLUSIVE
+        return evaluate_witness(self.witness, rows.ok[0], self.call.writer)
 
 
 def find_witness(writes: list[Write]) -> Write | None:
-    """Return the write to read back: a guarded one if any, ``None`` for no write."""
+    """Return the write whose row is read back.
+
+    A guarded write is preferred; ``None`` if the transaction writes nothing.
+    """
     written = [write for write in writes if not write.check_only]
     guarded = [write for write in written if is_guarded(write)]
     return next(iter(guarded + written), None)
 
 
 def is_guarded(write: Write) -> bool:
-    """Return whether the write itself makes its own repetition fail."""
+    """Return whether a repetition of the write would fail because of the first."""
     deletes_nothing = write.expected == ABSENT and write.value is None
     return write.expected is not None and not deletes_nothing
 
 
-def judge(witness: Write, row: StoredRow, writer: str) -> Committed | Evidence:
-    """Return what the witness's row tells about the transaction of a writer."""
+def evaluate_witness(
+    witness: Write, row: StoredRow, writer: str
+) -> Committed | ReadBackEvidence:
+    """Return what the witness's row shows of the transaction with a writer id."""
     if row.writer == writer:
         return Committed(row.version)
     if is_guarded(witness) and row.version == witness.expected:
-        return Evidence.NOT_YET
-    return Evidence.NONE
+        return ReadBackEvidence.NOT_APPLIED_YET
+    return ReadBackEvidence.INCONCLUSIVE
--- a/bergamotcourse/protocol/platform_wire.py
+++ b/bergamotcourse/protocol/platform_wire.py
@@ -23,14 +23,15 @@
 STATUS_UNAVAILABLE = 503
 
 PAGE_LIMIT = 1000
-"""Rows in one page of changes, unless a transaction reaches over its end."""
+"""Default number of rows in one page of changes. A page may exceed its limit, because
+it never ends inside a transaction."""
 
 
 class StoredRow(msgspec.Struct, frozen=True):
     """A row with the id of the transaction that wrote it last.
 
     Attributes:
-        writer: Sixteen hexadecimal digits; empty for a row without a writer.
+        writer: Writer id, sixteen hexadecimal digits; empty if there is none.
     """
 
     key: str
@@ -39,25 +40,29 @@
     writer: str = ""
 
     def row(self) -> Row:
-        """Return the row as the product sees it."""
+        """Return the row without its writer id."""
         return Row(self.key, self.version, self.value)
 
 
 class TransactCall(msgspec.Struct, frozen=True):
-    """A transaction; the writer id is the same in each copy of it."""
+    """A transaction; every copy of it carries the same writer id."""
 
     writer: str
     writes: list[Write]
 
 
 class TransactAnswer(msgspec.Struct, frozen=True):
-    """The verdict on a transaction: exactly one of the two is set."""
+    """The verdict on a transaction; exactly one of the fields is set."""
 
     committed: Committed | None = None
     conflict: Conflict | None = None
 
     def __post_init__(self):
-        """Refuse an answer without a verdict while it is decoded."""
+        """Refuse an answer without exactly one verdict while it is decoded.
+
+        Raises:
+            ValueError: Neither or both of the fields are set.
+        """
         if (self.committed is None) == (self.conflict is None):
             raise ValueError("not exactly one verdict")
 
@@ -76,7 +81,7 @@
 
 
 class GetCall(msgspec.Struct, frozen=True):
-    """A read of some keys."""
+    """A request for the rows of some keys."""
 
     keys: list[str]
 
@@ -91,8 +96,8 @@
     """Changed rows in version order.
 
     Attributes:
-        version: The table's version, or the last row's if there are more.
-        more: Whether the next page, after this version, has further rows.
+        version: The table's version, or that of the last row if there are more rows.
+        more: Whether there are more rows after this version.
     """
 
     version: int
@@ -101,7 +106,7 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """The body of an answer that is not a success.
+    """The body of an error response.
 
     Attributes:
         took_effect: As in ``PlatformError``.
@@ -112,7 +117,7 @@
 
 
 class SinceQuery(msgspec.Struct, frozen=True):
-    """The query of a read of changes."""
+    """The query of a request for changes."""
 
     prefix: str
     version: int
@@ -124,7 +129,11 @@
 
     @classmethod
     def parse(cls, target: str) -> "SinceQuery":
-        """Return the query of a target; raises ``msgspec.ValidationError``."""
+        """Return the query of a request target.
+
+        Raises:
+            msgspec.ValidationError: A field is missing or invalid.
+        """
         fields = parse_qs(urlsplit(target).query, keep_blank_values=True)
         return msgspec.convert(
             {name: values[-1] for name, values in fields.items()}, cls, strict=False
@@ -137,5 +146,5 @@
 
 
 def object_name(target: str) -> str:
-    """Return the object that a request target names."""
+    """Return the name of the object in a request target."""
     return unquote(target.removeprefix(OBJECTS_TARGET))
--- a/bergamotcourse/protocol/problem.py
+++ b/bergamotcourse/protocol/problem.py
@@ -1,4 +1,4 @@
-"""Problem details (RFC 9457) with the members of this project."""
+"""Problem details (RFC 9457) with this project's extension members."""
 
 import msgspec
 
@@ -8,12 +8,12 @@
 
 
 class TaskProblem(msgspec.Struct):
-    """What became of one task of a refused or failed submission.
+    """The outcome of one task of a refused or failed submission.
 
     Attributes:
-        index: Place of the task in its submission, from 0.
-        outcome: What became of it.
-        detail: One line for a person.
+        index: Index of the task in its submission, from 0.
+        outcome: Outcome of the task.
+        detail: A human-readable line.
     """
 
     index: int
@@ -22,11 +22,11 @@
 
 
 class Problem(ProblemDetails, omit_defaults=True):
-    """A problem, with what it means for the caller's tasks.
+    """A problem that also reports the outcome of the caller's tasks.
 
     Attributes:
-        outcome: What became of the submission, if that is known.
-        retry_after: Seconds after which the caller may try again, if it may.
+        outcome: Outcome of the submission, if it is known.
+        retry_after: Seconds after which the caller may retry, if it may.
         tasks: The tasks that have a problem of their own.
     """
 
@@ -36,5 +36,5 @@
 
 
 def problem_response(problem: Problem) -> HttpResponse:
-    """Return a problem as a response, with ``Retry-After`` where it tells one."""
+    """Return a problem as a response, with ``Retry-After`` if there is one."""
     return encode_problem(problem, problem.retry_after)
--- a/bergamotcourse/protocol/status.py
+++ b/bergamotcourse/protocol/status.py
@@ -1,6 +1,6 @@
-"""What an entry tells operators of itself and of the agents and entries it knows.
+"""The status that an entry reports of itself and of the agents and entries it knows.
 
-Plain data classes, which travel as JSON. Times are in seconds.
+Plain data classes, which are encoded as JSON. Times are in seconds.
 """
 
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
     Attributes:
         state: A ``LeaseState``.
-        left_seconds: For how long it holds from now on; 0 for not.
+        left_seconds: Time until the lease expires; 0 if the entry does not hold it.
         successor: The only entry that may take over.
     """
 
@@ -26,9 +26,9 @@
     """The ranges of the key space that an entry owns.
 
     Attributes:
-        hashed: Ranges of the keys that callers make.
-        recovering: Of all owned ones, those that grant no claims yet.
-        home: The range under which it hands out keys is owned.
+        hashed: Owned ranges of the keys that callers make.
+        recovering: Those of all owned ranges that do not grant claims yet.
+        home: The entry owns the range under which it hands out keys.
     """
 
     hashed: list[int]
@@ -41,9 +41,9 @@
     """One service at one agent, as an entry sees it.
 
     Attributes:
-        slots: Of the upstreams that get new work.
-        load: Tasks there, of all entries.
-        in_flight: Of these, the tasks of the entry that tells.
+        slots: Slots of the upstreams that get new tasks.
+        load: Tasks of all entries at the agent.
+        in_flight: Those of these tasks that the reporting entry sent.
     """
 
     service: str
@@ -57,7 +57,7 @@
     """An upstream that announced itself to an agent.
 
     Attributes:
-        closed: The configuration gives it nothing new.
+        closed: The configuration gives it no new tasks.
     """
 
     id: str
@@ -73,8 +73,8 @@
 
     Attributes:
         health: An ``AgentHealth``.
-        drained: A drain of the configuration takes it out of service.
-        heard_seconds: Since its last message; ``None`` before the first.
+        drained: A drain in the configuration takes it out of service.
+        heard_seconds: Time since its last message; ``None`` before the first.
     """
 
     id: str
@@ -90,11 +90,12 @@
 
 @dataclass(frozen=True)
 class PeerStatus:
-    """Another entry, as the platform and its messages told of it.
+    """Another entry, as known from the platform and its messages.
 
     Attributes:
-        alive: Its lease row was renewed not long ago.
-        config_version: In force there at its last message; ``None`` if it sent none.
+        alive: Its lease row was renewed recently.
+        config_version: The version in force there at its last message; ``None`` if it
+            sent none.
     """
 
     id: str
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True)
 class QueueStatus:
-    """The tasks of one service that wait at an entry."""
+    """The tasks of one service that are queued at an entry."""
 
     service: str
     requests: int
@@ -117,8 +118,8 @@
     """The configuration at an entry.
 
     Attributes:
-        version: In force.
-        ready: The version may be served.
+        version: The version in force.
+        ready: The version in force may be served.
         last_error: Why the last poll of the platform failed, or ``""``.
     """
 
@@ -133,9 +134,9 @@
     """One entry.
 
     Attributes:
-        ready: Callers may be sent to it.
-        retry_budget: Retries that it may make now.
-        counters: Counts since its start, by name.
+        ready: The balancer may send callers to it.
+        retry_budget: Number of retries that it may make now.
+        counters: Counts since the start of the process, by name.
     """
 
     id: str
--- a/bergamotcourse/protocol/task_messages.py
+++ b/bergamotcourse/protocol/task_messages.py
@@ -1,8 +1,8 @@
 """The messages by which entries place tasks at agents.
 
-Each side sends the other a stream of numbered items. A message carries those items
-that the other side has not confirmed, and confirms what it has received, so items
-that a broken connection lost are sent again and none is taken twice.
+Each side sends the other a stream of numbered items. A message carries items that the
+other side has not acknowledged, and a cumulative acknowledgement of the items received.
+Items that a broken connection lost are retransmitted, and none is processed twice.
 """
 
 from enum import Enum
@@ -12,8 +12,8 @@
 from bergamotcourse.state.evacuations import Evacuations
 from bergamotcourse.state.resources import Resources
 
-ITEM_BYTES = 100
-"""Of an encoded item beside its payload."""
+ITEM_OVERHEAD_BYTES = 100
+"""Approximate size of an encoded item without its payload."""
 
 
 class Item(Message, frozen=True):
@@ -21,71 +21,75 @@
 
     def size(self) -> int:
         """Return about how many bytes it has when encoded."""
-        return ITEM_BYTES
+        return ITEM_OVERHEAD_BYTES
 
 
 class PlaceTask(Item, frozen=True):
-    """Start a task, or queue it until there is room.
+    """Start a task, or queue it until there is capacity.
 
     Attributes:
         request: The id of the job, for the log.
-        payload: ``None`` for that of the placement before it in the stream, which is of
-            the same job.
-        rank: Milliseconds that the task can still wait; the least goes first.
-        estimate: Seconds of work on an upstream of speed 1.
-        patience: Milliseconds after which a task that did not start is returned.
+        payload: The payload of the task; ``None`` if it is that of the preceding
+            placement in the stream, which is of the same job.
+        slack_ms: Milliseconds that the task can still wait; the task with the least
+            slack starts first.
+        estimate: Estimated seconds of work on an upstream of speed 1.
+        queue_timeout_ms: Milliseconds after which the agent returns a task that has not
+            started.
     """
 
     key: RunKey
     request: str
     payload: str | None
     needs: Resources
-    rank: int
+    slack_ms: int
     estimate: float
-    patience: int
+    queue_timeout_ms: int
 
     def size(self) -> int:
         """Return about how many bytes it has when encoded."""
-        return ITEM_BYTES + len(self.payload or "")
+        return ITEM_OVERHEAD_BYTES + len(self.payload or "")
 
 
 class WithdrawTask(Item, frozen=True):
-    """End a run, or bar it; its end is reported in each case."""
+    """Stop a run, or bar it from starting; the agent reports its end in either case."""
 
     key: RunKey
 
 
-class Outcome(Enum):
-    """What became of a placed run; only ``DONE`` and ``FAILED`` ran to their end."""
+class RunOutcome(Enum):
+    """The outcome of a placed run; only ``DONE`` and ``FAILED`` runs completed."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
     LOST = "lost"
-    """It lapsed, or nobody knows what became of it."""
+    """Its lease expired, or its outcome is unknown."""
     CRASHED = "crashed"
-    """Its upstream went without notice while it ran, or does not answer any more."""
+    """Its upstream disappeared or stopped answering while the run was in progress."""
     RETURNED = "returned"
-    """It never started and never will."""
+    """It did not start and never will."""
     MOVED = "moved"
-    """It was stopped, as it would be done sooner elsewhere."""
+    """It was stopped because it would complete sooner on another upstream."""
     STALE = "stale"
-    """It never started: the upstream knows a run of that number or a later one."""
+    """It did not start: the upstream knows a run of the task with that number or a
+    later one."""
 
 
-NEVER_RAN = (Outcome.RETURNED, Outcome.STALE)
+NEVER_STARTED_OUTCOMES = (RunOutcome.RETURNED, RunOutcome.STALE)
 
 
 class TaskEnded(Item, frozen=True):
     """The final outcome of a placed run.
 
     Attributes:
-        ran: Seconds from its start to its end, 0 if it never started.
+        run_seconds: Seconds from its start to its end, 0 if it never started.
+        detail: A human-readable reason.
     """
 
     key: RunKey
-    outcome: Outcome
-    ran: float = 0.0
+    outcome: RunOutcome
+    run_seconds: float = 0.0
     detail: str = ""
 
 
@@ -93,19 +97,20 @@
     """The load of an agent.
 
     Attributes:
-        service: Empty while no upstream has announced itself.
-        capacity: Of the upstream; nothing while it takes no tasks.
-        committed: Needs of all that runs or waits at the agent.
-        yours: The part of ``committed`` that the receiver has placed.
-        on_trial: The upstream fails, stalls or delays what it runs: it gets one task
-            at a time.
+        service: Service of the upstream; empty while no upstream has announced itself.
+        labels: Labels of the upstream.
+        capacity: Capacity of the upstream; zero while it accepts no tasks.
+        committed: Needs of all runs that are running or queued at the agent.
+        receiver_committed: The part of ``committed`` that the receiver has placed.
+        on_trial: The upstream fails, stalls or delays its runs, so it gets one task at
+            a time.
     """
 
     service: str
     labels: tuple[str, ...]
     capacity: Resources
     committed: Resources
-    yours: Resources
+    receiver_committed: Resources
     on_trial: bool
 
 
@@ -113,12 +118,14 @@
     """An agent's message to an entry; also its heartbeat.
 
     Attributes:
-        boot: Rises with each process of the agent.
-        session: Rises each time the agent gives up the runs of this entry.
-        sent_ms: On the agent's clock; echoed by the entry.
-        next_ms: After so many milliseconds the next message follows, if none sooner.
-        seen: The last item received of the entry's stream.
+        boot: Increases with each process of the agent.
+        session: Increases each time the agent abandons the runs of this entry.
+        sent_ms: Time of sending on the agent's clock; echoed by the entry.
+        next_ms: Milliseconds within which the next message follows.
+        seen: Number of the last item received of the entry's stream (cumulative
+            acknowledgement).
         first: Number of the first of ``items``.
+        room: The load of the agent.
     """
 
     agent: str
@@ -134,18 +141,20 @@
 
 
 class EntryTurn(Message, frozen=True):
-    """An entry's message to an agent, in answer to the agent's.
+    """An entry's message to an agent, sent in reply to the agent's.
 
     Attributes:
-        entry_boot: Drawn by each process of the entry.
-        boot: Of the agent, as last heard.
-        session: Of the agent, as last heard.
+        entry_boot: Increases with each process of the entry.
+        boot: ``boot`` of the agent's last message.
+        session: ``session`` of the agent's last message.
         echo_ms: ``sent_ms`` of the agent's last message.
-        seen: The last item received of the agent's stream.
+        seen: Number of the last item received of the agent's stream (cumulative
+            acknowledgement).
         first: Number of the first of ``items``.
         last: Number of the last item that the entry has for the agent, sent or not.
-        waiting: The entry has tasks that find no room: tell it of any.
-        evacuations: As the entry knows them.
+        waiting: The entry has tasks for which there is no capacity, and the agent
+            should report when it has any.
+        evacuations: The zone evacuations that the entry knows.
     """
 
     entry: str
@@ -162,11 +171,11 @@
 
 
 class EndSession(Message, frozen=True):
-    """An entry has given up all runs of a session: the agent is to begin another.
+    """An entry has abandoned all runs of a session; the agent must begin a new one.
 
     Attributes:
-        boot: Of the agent, as last heard.
-        session: The session that is over.
+        boot: ``boot`` of the agent's last message.
+        session: The session that has ended.
     """
 
     boot: int
@@ -174,37 +183,47 @@
 
 
 class Hello(Message, frozen=True):
-    """A process makes itself known, and asks for the others that are known.
+    """A process announces itself and the other processes that it knows.
 
     Attributes:
-        agent: The sender is an agent, else an entry.
-        config: The version of the configuration in force at an entry.
-        asks: The receiver is to answer with a greeting of its own.
-        evacuations: As the sender knows them.
+        agent: Whether the sender is an agent; otherwise it is an entry.
+        entries: Addresses of entries that the sender knows.
+        agents: Addresses of agents that the sender knows.
+        config: The version of the configuration in force if the sender is an entry.
+        wants_reply: Whether the receiver must reply with a ``Hello`` of its own.
+        evacuations: The zone evacuations that the sender knows.
     """
 
     agent: bool
     entries: list[str]
     agents: list[str]
     config: int
-    asks: bool
+    wants_reply: bool
     evacuations: Evacuations = Evacuations()
 
 
 class ConfigWanted(Message, frozen=True):
-    """An entry asks another for a configuration newer than its own."""
+    """An entry requests a configuration newer than its own from another entry.
+
+    Attributes:
+        version: The version in force at the sender.
+    """
 
     version: int
 
 
 class ConfigCopy(Message, frozen=True):
-    """The configuration in force at the sender, as the platform's store holds it."""
+    """The configuration in force at the sender, as stored by the platform."""
 
     version: int
     content: bytes
 
 
 class Farewell(Message, frozen=True):
-    """The sender stops for good; nothing of it runs any more."""
+    """The sender shuts down; none of its runs is left.
+
+    Attributes:
+        agent: Whether the sender is an agent; otherwise it is an entry.
+    """
 
     agent: bool
--- a/bergamotcourse/protocol/upstream_orders.py
+++ b/bergamotcourse/protocol/upstream_orders.py
@@ -1,7 +1,7 @@
-"""How an agent speaks to an upstream that takes orders.
+"""The interface between an agent and an upstream that takes orders.
 
-Such an upstream starts and stops tasks when told to, keeps them only while its lease
-is renewed, and lists what has ended until it is told that this was noted.
+Such an upstream starts and stops runs on order, keeps them only while its lease is
+renewed, and lists the ends of runs until they are acknowledged.
 """
 
 from dataclasses import dataclass
@@ -22,23 +22,27 @@
 
 
 class StartVerdict(Enum):
-    """What became of an order to start."""
+    """The result of an order to start a run."""
 
     STARTED = "started"
     NO_ROOM = "no room"
     STALE = "stale"
-    """This run, or a later one, was stopped or has ended there."""
+    """This run or a later one of the task was stopped or has ended at the upstream."""
     TOO_LATE = "too late"
     FENCED = "fenced"
     INVALID = "invalid"
     UNHEALTHY = "unhealthy"
     OTHER_BOOT = "other boot"
     UNKNOWN = "unknown"
-    """No answer: it may be carried out, at once or later."""
+    """No answer: the order may have been executed or may yet be executed."""
 
 
 class EndKind(Enum):
-    """How a run ended on its upstream."""
+    """How a run ended on its upstream.
+
+    Attributes:
+        LAPSED: The lease of the upstream expired.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -47,14 +51,14 @@
 
 
 class RunKey(msgspec.Struct, frozen=True, array_like=True):
-    """One run of one task; ``number`` rises with each run of the task."""
+    """Identifies a run of a task; ``number`` increases with each run of the task."""
 
     task: TaskName
     number: int
 
 
 class LifeKey(NamedTuple):
-    """Names one life of an upstream: it may start again under its id."""
+    """Identifies one life of an upstream, which may restart under the same id."""
 
     upstream: UpstreamId
     incarnation: Incarnation
@@ -62,14 +66,14 @@
 
 @dataclass(frozen=True)
 class UpstreamReport:
-    """What an upstream says of itself.
+    """An upstream's report of its own state.
 
     Attributes:
-        id: Names the upstream.
-        address: ``IP:PORT`` where it takes orders.
-        sequence: Rises with each report of one life.
-        clock: Seconds on its steady clock.
-        incarnation: Rises each time it starts under this id.
+        id: Identifies the upstream.
+        address: ``IP:PORT`` at which it takes orders.
+        sequence: Increases with each report of one life.
+        clock: Seconds on the upstream's monotonic clock.
+        incarnation: Increases each time the upstream starts under this id.
     """
 
     id: UpstreamId
@@ -85,7 +89,7 @@
 
     @property
     def life(self) -> LifeKey:
-        """Return the life that reports."""
+        """Return the life that sent the report."""
         return LifeKey(self.id, self.incarnation)
 
     @property
@@ -96,7 +100,7 @@
 
 @dataclass(frozen=True)
 class RunningRun:
-    """A run that the upstream lists as running; ``progress`` is 0 to 1."""
+    """A run that the upstream lists as running; ``progress`` is from 0 to 1."""
 
     key: RunKey
     progress: float
@@ -107,7 +111,7 @@
     """A run that the upstream lists as ended.
 
     Attributes:
-        number: Rises with each end of one life of the upstream.
+        number: Sequence number of the end within one life of the upstream.
     """
 
     number: int
@@ -117,7 +121,14 @@
 
 @dataclass(frozen=True)
 class Holding:
-    """What an upstream runs and what has ended there, at one moment."""
+    """A snapshot of the running and the ended runs of an upstream.
+
+    Attributes:
+        clock: Time of the snapshot in seconds on the upstream's clock.
+        running: The runs in progress.
+        ended: The ended runs whose ends are not acknowledged.
+        incarnation: The incarnation of the upstream that answered.
+    """
 
     clock: float
     running: tuple[RunningRun, ...]
@@ -130,8 +141,8 @@
     """An order to start a run.
 
     Attributes:
-        until: On the upstream's clock, in seconds: when its lease ends unless it is
-            renewed.
+        until: Time in seconds on the upstream's clock at which its lease expires unless
+            it is renewed.
     """
 
     key: RunKey
@@ -141,14 +152,14 @@
 
 @dataclass(frozen=True)
 class StartReply:
-    """The answer to an order to start; the clock is ``None`` where none was told."""
+    """The answer to an order to start; ``clock`` is ``None`` if the answer has none."""
 
     verdict: StartVerdict
     clock: float | None = None
 
 
 class HoldFailure(Enum):
-    """Why there is no holding."""
+    """Why a call of ``hold`` returned no ``Holding``."""
 
     NO_ANSWER = "no answer"
     FENCED = "fenced"
@@ -157,28 +168,33 @@
 
 
 class OrderPort(Protocol):
-    """Gives orders to one life of one upstream, under one fencing token.
+    """Sends orders to one life of one upstream, under one fencing token.
 
-    An order reaches that life or none, also where the upstream has started again under
-    its id: the new life would count the lease on another clock, and its answers would
-    say nothing of what ran before.
+    An order is executed by that life or not at all, even if the upstream has restarted
+    under its id: a new life measures the lease on a different clock, and its answers do
+    not cover runs of the former life.
     """
 
     async def start(self, order: StartOrder, timeout: float) -> StartReply:
-        """Order a run to start."""
+        """Order the upstream to start a run; ``timeout`` is in seconds."""
 
     async def stop(self, key: RunKey, timeout: float) -> bool:
-        """Order a run to stop, or bar it; true once the upstream said so."""
+        """Order the upstream to stop a run, or to bar it from starting.
+
+        Returns:
+            True if the upstream confirmed the order within ``timeout`` seconds.
+        """
 
     async def hold(
         self, noted: int, until: float | None, wait: float, timeout: float
     ) -> Holding | HoldFailure:
-        """Note ends, renew the lease, and wait for an end.
+        """Acknowledge ends, renew the lease, and wait for the next end (long poll).
 
         Args:
-            noted: Ends up to this number are noted.
-            until: The lease's new end on the upstream's clock, or ``None``.
-            wait: Seconds to wait for an end that is not noted.
+            noted: Ends up to this number are acknowledged.
+            until: The lease's new expiry on the upstream's clock; ``None`` to leave the
+                lease as it is.
+            wait: Seconds to wait for an end that is not acknowledged.
             timeout: Seconds for the answer.
         """
 
--- a/bergamotcourse/state/start_log.py
+++ b/bergamotcourse/state/start_log.py
@@ -189,9 +189,9 @@
         started = self.submissions.get(submission)
         return started.digest if started else b""
 
-    def memory_ms(self, up_ms: int) -> int:
+    def memory_ms(self, uptime_ms: int) -> int:
         """Return for how long back all starts are remembered."""
-        return min(up_ms, self.keep_ms)
+        return min(uptime_ms, self.keep_ms)
 
     def started_in(self, ranges: set[int]) -> list[tuple[bytes, Started]]:
         """Return the submissions of some ranges of which a task was started."""
--- a/bergamotcourse/tests/jobs/test_configuration.py
+++ b/bergamotcourse/tests/jobs/test_configuration.py
@@ -82,9 +82,9 @@
             return Error(self.error)
         found = content(self.version) if self.version else None
         standing = tuple(one for one in self.zones.values() if one.evacuated)
-        return Ok(ConfigRead(self.position, found, standing, is_whole=True))
+        return Ok(ConfigRead(self.position, found, standing, is_snapshot=True))
 
-    async def config_changes(self, after, wait, timeout):
+    async def wait_for_config_changes(self, after, wait, timeout):
         self.calls += 1
         if not self.waits and self.position == after:
             return Ok(ConfigRead(self.position, None))
--- a/bergamotcourse/tests/jobs/test_contact_on_demand.py
+++ b/bergamotcourse/tests/jobs/test_contact_on_demand.py
@@ -326,7 +326,7 @@
             entry = fleet.start_entry("entry-1")
             await trio.sleep(0.001)
             for agent in fleet.agents.values():
-                greeting = Hello(False, [], [], 0, asks=False)
+                greeting = Hello(False, [], [], 0, wants_reply=False)
                 entry.mailer.post(agent.address, greeting)
             await trio.sleep(0.02)
             return len(entry.links.placement_candidates().preferred_in_contact)
@@ -340,7 +340,7 @@
             entry = fleet.start_entry("entry-1")
             for agent in fleet.agents.values():
                 await trio.sleep(0.01)
-                greeting = Hello(False, [], [], 0, asks=False)
+                greeting = Hello(False, [], [], 0, wants_reply=False)
                 entry.mailer.post(agent.address, greeting)
                 await trio.sleep(0.01)
                 entry.jobs.place_waiting_jobs()
--- a/bergamotcourse/tests/jobs/test_guards.py
+++ b/bergamotcourse/tests/jobs/test_guards.py
@@ -5,7 +5,7 @@
 from bergamotcourse.coordination.jobs import agent_link, entry_contact, upstream_life
 from bergamotcourse.coordination.jobs.entry_contact import EntryContact
 from bergamotcourse.coordination.jobs.executor import Executor
-from bergamotcourse.protocol.task_messages import Outcome, TaskEnded
+from bergamotcourse.protocol.task_messages import RunOutcome, TaskEnded
 from bergamotcourse.protocol.upstream_orders import StartVerdict
 from bergamotcourse.tests.jobs.fleets import run_fleet
 from bergamotcourse.virtual.job_fleet import QUEUE, job
@@ -142,7 +142,7 @@
             if run is not None:
                 self._stop(run, "withdrawn")
                 return
-            self.registry.report_end(entry, TaskEnded(key, Outcome.RETURNED))
+            self.registry.report_end(entry, TaskEnded(key, RunOutcome.RETURNED))
 
         monkeypatch.setattr(Executor, "withdraw", withdraw)
         assert run_fleet(agent_restarted)
@@ -150,7 +150,7 @@
     def test_barring_a_run_whose_start_order_had_no_answer(self, monkeypatch):
         def take_verdict(self, run, verdict):
             if verdict is StartVerdict.UNKNOWN:
-                self.registry.finish(run, Outcome.RETURNED, "no answer")
+                self.registry.finish(run, RunOutcome.RETURNED, "no answer")
             else:
                 original(self, run, verdict)
 
--- a/bergamotcourse/tests/jobs/test_placement.py
+++ b/bergamotcourse/tests/jobs/test_placement.py
@@ -20,7 +20,7 @@
         labels=labels,
         capacity=CAPACITY,
         committed=Resources(used, 0, 0),
-        yours=NOTHING,
+        receiver_committed=NOTHING,
         on_trial=False,
     )
     return link
--- a/bergamotcourse/tests/platform/test_store.py
+++ b/bergamotcourse/tests/platform/test_store.py
@@ -63,7 +63,7 @@
         async def use(store):
             read = (await store.read_config(1.0)).ok
             assert (read.content, read.position) == (b"{}", 1)
-            changes = (await store.config_changes(1, 0.0, 1.0)).ok
+            changes = (await store.wait_for_config_changes(1, 0.0, 1.0)).ok
             assert changes.content is None
 
         with_store(rows, use)
@@ -76,7 +76,7 @@
             rows.transact({"put": [{"table": "op", "key": "config", "value": value}]})
 
         async def use(store):
-            assert (await store.config_changes(1, 0.0, 1.0)).ok.content == b"3"
+            assert (await store.wait_for_config_changes(1, 0.0, 1.0)).ok.content == b"3"
 
         with_store(rows, use)
 
@@ -91,7 +91,7 @@
 
         async def use(store):
             read = (await store.read_config(1.0)).ok
-            assert read.is_whole
+            assert read.is_snapshot
             assert [change.zone for change in read.zones] == ["north", "south"]
 
         with_store(rows, use)
@@ -104,8 +104,8 @@
         rows.transact({"remove": [{"table": "op", "key": "evacuate/north"}]})
 
         async def use(store):
-            read = (await store.config_changes(1, 0.0, 1.0)).ok
-            assert not read.is_whole
+            read = (await store.wait_for_config_changes(1, 0.0, 1.0)).ok
+            assert not read.is_snapshot
             assert read.zones == (
                 ZoneChange(ZoneName("south"), True, 2),
                 ZoneChange(ZoneName("north"), False, 3),
@@ -124,7 +124,7 @@
         rows.status = 410
 
         async def use(store):
-            result = await store.config_changes(1, 0.0, 1.0)
+            result = await store.wait_for_config_changes(1, 0.0, 1.0)
             assert isinstance(result.error, HistoryGoneError)
 
         with_store(rows, use)
@@ -257,7 +257,9 @@
 
         async def use(store):
             assert (await store.read_config(1.0)).ok.content == b"{}"
-            assert (await store.config_changes(0, 0.0, 1.0)).ok.content == b"{}"
+            assert (
+                await store.wait_for_config_changes(0, 0.0, 1.0)
+            ).ok.content == b"{}"
 
         with_store(rows, use)
 
--- a/bergamotcourse/tests/protocol/test_circuit_breaker.py
+++ b/bergamotcourse/tests/protocol/test_circuit_breaker.py
@@ -25,7 +25,7 @@
         self.clock.time += 5.0
         return self.breaker.acquire()
 
-    def test_opens_only_after_consecutive_failures(self):
+    def test_only_consecutive_failures_open_breaker(self):
         self.breaker.fail(self.breaker.acquire())
         self.breaker.succeed(self.breaker.acquire())
         self.breaker.fail(self.breaker.acquire())
@@ -34,7 +34,7 @@
         assert self.breaker.state is BreakerState.OPEN
         assert self.breaker.acquire() is None
 
-    def test_lets_one_probe_through_after_the_pause(self):
+    def test_one_probe_is_permitted_after_the_pause(self):
         self.open()
         self.clock.time += 4.9
         assert self.breaker.acquire() is None
@@ -43,23 +43,23 @@
         assert self.breaker.acquire() is None
         assert self.breaker.state is BreakerState.HALF_OPEN
 
-    def test_successful_probe_closes(self):
+    def test_successful_probe_closes_breaker(self):
         self.breaker.succeed(self.probe())
         assert self.breaker.state is BreakerState.CLOSED
         assert not self.breaker.acquire().probe
 
-    def test_failed_probe_opens_for_another_pause(self):
+    def test_failed_probe_reopens_breaker_for_another_pause(self):
         self.breaker.fail(self.probe())
         self.clock.time += 4.9
         assert self.breaker.acquire() is None
         self.clock.time += 0.1
         assert self.breaker.acquire().probe
 
-    def test_cancelled_probe_makes_room_for_the_next(self):
+    def test_cancelled_probe_does_not_block_the_next_probe(self):
         self.breaker.abandon(self.probe())
         assert self.breaker.acquire().probe
 
-    def test_outcomes_of_older_calls_do_not_count_while_open(self):
+    def test_outcomes_of_calls_before_opening_are_ignored(self):
         older = [self.breaker.acquire() for _ in range(3)]
         probe = self.probe()
         self.breaker.succeed(older[0])
--- a/bergamotcourse/tests/protocol/test_job_body.py
+++ b/bergamotcourse/tests/protocol/test_job_body.py
@@ -32,7 +32,7 @@
 class TestParseJob:
     @settings(max_examples=200)
     @given(st.binary(max_size=200) | JSON.map(lambda v: json.dumps(v).encode()))
-    def test_any_bytes_give_a_job_or_a_reason(self, content):
+    def test_arbitrary_bytes_yield_a_job_or_an_error(self, content):
         parsed = parse_job(content)
         assert parsed.is_ok() or parsed.error
 
@@ -40,7 +40,7 @@
         assert parse_job(b"[" * 100_000).is_error()
 
     @pytest.mark.parametrize(
-        ("change", "named"),
+        ("change", "expected_name"),
         [
             ({"tasks": None}, "tasks"),
             ({"service": 1}, "service"),
@@ -48,9 +48,9 @@
             ({"timeout_seconds": "1"}, "timeout_seconds"),
         ],
     )
-    def test_the_reason_names_the_key(self, change, named):
+    def test_error_names_the_offending_key(self, change, expected_name):
         body = {"service": "voting", "tasks": [{"target": "/"}]} | change
-        assert named in parse_job(json.dumps(body).encode()).error
+        assert expected_name in parse_job(json.dumps(body).encode()).error
 
 
 class TestTaskRequest:
@@ -65,20 +65,20 @@
             body_base64=st.none() | st.text(max_size=5),
         )
     )
-    def test_what_is_taken_has_no_control_characters(self, task):
-        taken = task_request(task)
-        if taken.is_error():
+    def test_accepted_requests_have_no_control_characters(self, task):
+        parsed = task_request(task)
+        if parsed.is_error():
             return
-        request = taken.ok
+        request = parsed.ok
         texts = [request.method, request.target]
         texts += [part for header in request.headers for part in header]
         assert all(ord(c) >= 32 or c == "\t" for text in texts for c in text)
         assert " " not in request.method + request.target
 
-    def test_both_bodies_are_refused(self):
+    def test_task_with_both_kinds_of_body_is_refused(self):
         assert task_request(TaskBody("/", body="a", body_base64="YQ==")).is_error()
 
-    def test_a_body_in_base64_is_taken_as_bytes(self):
+    def test_base64_body_is_decoded(self):
         content = bytes(range(256))
         encoded = base64.b64encode(content).decode()
         assert task_request(TaskBody("/", body_base64=encoded)).ok.body == content
@@ -87,7 +87,7 @@
 class TestAnswerBody:
     @settings(max_examples=100)
     @given(st.lists(st.binary(max_size=30), min_size=1, max_size=5))
-    def test_each_result_comes_back_in_its_place(self, bodies):
+    def test_results_keep_the_order_of_tasks(self, bodies):
         results = [
             TaskResult(b"s", n, 1, 1, Outcome.DONE, 200, [Header("a", "b")], body)
             for n, body in enumerate(bodies)
--- a/bergamotcourse/tests/protocol/test_mailer.py
+++ b/bergamotcourse/tests/protocol/test_mailer.py
@@ -7,7 +7,7 @@
 
 from bergamotcourse.errors import Step, StepError
 from bergamotcourse.ids import LinkAddress
-from bergamotcourse.protocol.mailer import IDLE_TIMEOUT, Mailer
+from bergamotcourse.protocol.mailer import PEER_IDLE_TIMEOUT_SECONDS, Mailer
 from bergamotcourse.protocol.messages import (
     AskPromise,
     Cancel,
@@ -23,7 +23,7 @@
 
 
 class RefusingLink(MemoryLink):
-    """Waits, as for room in a full buffer, and refuses."""
+    """Refuses each message after a wait, like a link whose buffer stays full."""
 
     async def send(self, peer, payload):
         await trio.sleep(TIMEOUT)
@@ -31,7 +31,7 @@
 
 
 class Pair:
-    """Two mailers; what B's handler receives is kept, requests are answered."""
+    """Two mailers; B records the messages that it receives and answers requests."""
 
     def __init__(self, refuse=False, **options):
         self.network = MemoryNetwork(random.Random(1))
@@ -71,7 +71,7 @@
 
 
 class TestPost:
-    def test_what_waits_travels_together_in_order(self):
+    def test_queued_messages_are_batched_in_order(self):
         async def scenario():
             pair = Pair(batch=100)
             async with pair.running():
@@ -86,7 +86,7 @@
 
         run(scenario)
 
-    def test_a_batch_keeps_to_its_bytes_but_for_a_single_message(self):
+    def test_batch_exceeds_byte_limit_only_for_a_single_message(self):
         async def scenario():
             pair = Pair(batch_bytes=1000)
             sizes = [10, 600, 600, 5000, 10]
@@ -99,7 +99,7 @@
 
         run(scenario)
 
-    def test_posts_before_the_run_are_kept(self):
+    def test_messages_posted_before_run_are_sent(self):
         async def scenario():
             pair = Pair()
             assert pair.a.post(B, detach(1))
@@ -110,7 +110,7 @@
 
         run(scenario)
 
-    def test_a_full_outbox_refuses(self):
+    def test_full_outbox_refuses_messages(self):
         async def scenario():
             pair = Pair(outbox=2)
             assert [pair.a.post(B, detach(1)) for _ in range(3)] == [True, True, False]
@@ -118,7 +118,7 @@
 
         run(scenario)
 
-    def test_what_the_link_refuses_or_cannot_be_encoded_is_reported(self):
+    def test_refused_and_unencodable_messages_are_reported_unsent(self):
         async def scenario():
             pair, unsent = Pair(refuse=True), []
             pair.a.on_unsent = lambda peer, messages: unsent.append((peer, messages))
@@ -133,13 +133,13 @@
 
         run(scenario)
 
-    def test_state_of_an_idle_peer_is_dropped(self):
+    def test_idle_peer_is_evicted(self):
         async def scenario():
             pair = Pair()
             async with pair.running():
                 for number in range(2):
                     pair.a.post(B, detach(number))
-                    await trio.sleep(IDLE_TIMEOUT - TIMEOUT)
+                    await trio.sleep(PEER_IDLE_TIMEOUT_SECONDS - TIMEOUT)
                     assert list(pair.a.outboxes) == [B]
                     await trio.sleep(2 * TIMEOUT)
                     assert pair.a.outboxes == {}
@@ -160,12 +160,12 @@
                 for _ in range(10):
                     nursery.start_soon(request)
             asked = {message.id for _, message in pair.received}
-            assert {result.ok.re for result in results} == asked
+            assert {result.ok.request_id for result in results} == asked
             assert (len(asked), pair.a.pending) == (10, {})
 
         run(scenario)
 
-    def test_no_reply_is_unknown_and_a_late_one_is_dropped(self):
+    def test_late_reply_is_dropped_after_timeout(self):
         async def scenario():
             pair = Pair()
             async with pair.running():
@@ -174,34 +174,34 @@
                 pair.network.thaw(A)
                 await trio.sleep(TIMEOUT)
             assert (result.error.step, result.error.peer) == (Step.RECEIVE, B)
-            assert (pair.a.counters.late, pair.a.pending) == (1, {})
+            assert (pair.a.counters.late_replies, pair.a.pending) == (1, {})
 
         run(scenario)
 
-    def test_a_second_reply_is_dropped(self):
+    def test_duplicate_reply_is_dropped(self):
         async def scenario():
             pair = Pair()
             pair.answers = 2
             async with pair.running():
                 assert (await pair.a.request(B, ask, TIMEOUT)).is_ok()
                 await trio.sleep(TIMEOUT)
-            assert pair.a.counters.late == 1
+            assert pair.a.counters.late_replies == 1
 
         run(scenario)
 
-    def test_a_request_outlives_the_state_of_its_idle_peer(self):
+    def test_request_stays_pending_when_idle_peer_is_evicted(self):
         async def scenario():
             pair = Pair()
             async with pair.running():
                 pair.network.freeze(A)
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(trio.sleep, IDLE_TIMEOUT + TIMEOUT)
-                    result = await pair.a.request(B, ask, 2 * IDLE_TIMEOUT)
+                    nursery.start_soon(trio.sleep, PEER_IDLE_TIMEOUT_SECONDS + TIMEOUT)
+                    result = await pair.a.request(B, ask, 2 * PEER_IDLE_TIMEOUT_SECONDS)
             assert result.error.step is Step.RECEIVE
 
         run(scenario)
 
-    def test_what_was_certainly_not_sent_is_an_error_of_sending(self):
+    def test_request_that_was_certainly_not_sent_fails_with_send_step(self):
         async def scenario():
             full, refused, stopped = Pair(outbox=0), Pair(refuse=True), Pair()
             async with refused.running():
@@ -217,7 +217,7 @@
 
 
 class TestForget:
-    def test_waiting_messages_are_reported_and_requests_fail(self):
+    def test_forgetting_a_peer_reports_queued_messages_and_fails_requests(self):
         async def scenario():
             pair, unsent, results = Pair(), [], []
             pair.a.on_unsent = lambda peer, messages: unsent.extend(messages)
@@ -244,7 +244,7 @@
 
 
 class TestReceive:
-    def test_payloads_that_hold_no_envelope_are_counted(self):
+    def test_undecodable_payloads_are_counted_and_skipped(self):
         async def scenario():
             pair, versions = Pair(), []
             pair.a.config_version = 12
--- a/bergamotcourse/tests/protocol/test_platform_client.py
+++ b/bergamotcourse/tests/protocol/test_platform_client.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's client against the stand-in, over a faulty network."""
+"""Tests of the platform client against the stand-in, over a faulty network."""
 
 import random
 from enum import Enum
@@ -26,8 +26,8 @@
 from bergamotcourse.standins.platform_table import Table
 from bergamotcourse.transport.http import HttpError, HttpRequest, HttpResponse, Sent
 
-LATE_SECONDS = 0.15
-LONG_AFTER = 60.0
+LATE_DELIVERY_SECONDS = 0.15
+SETTLED_SECONDS = 60.0
 
 
 class Fate(Enum):
@@ -44,7 +44,7 @@
 
 
 class FaultyHttp:
-    """Delivers requests to the stand-in's handler, each with the next fate."""
+    """Delivers requests to the stand-in's handler, each under the next fate."""
 
     def __init__(self, platform, nursery, fates=(), before=lambda: None):
         self.handler = PlatformHandler(platform).handle
@@ -65,9 +65,9 @@
                 await trio.sleep(timeout)
                 return failed(Sent.MAYBE)
             case Fate.LATE:
-                return self.deliver_late(request, LATE_SECONDS)
+                return self.deliver_late(request, LATE_DELIVERY_SECONDS)
             case Fate.VERY_LATE:
-                return self.deliver_late(request, LONG_AFTER / 2)
+                return self.deliver_late(request, SETTLED_SECONDS / 2)
             case Fate.LOSE_ANSWER:
                 await self.handler(request)
                 return failed(Sent.MAYBE)
@@ -97,7 +97,7 @@
 
 
 def on_network(fates=(), limits=None):
-    """Run a test with a client, its network and the platform on a virtual clock."""
+    """Run a test with a client, a faulty network and a platform on a virtual clock."""
 
     def decorate(test):
         async def main(self):
@@ -121,63 +121,69 @@
 
 class TestTransact:
     @on_network()
-    async def test_verdicts_pass_through(self, client, http, platform):
+    async def test_commit_and_conflict_are_returned(self, client, http, platform):
         assert (await client.transact([write()])).ok == Committed(1)
         conflict = (await client.transact([write(value=b"2")])).ok
         assert conflict == Conflict([Row("a", 1, b"1")])
         assert platform.counters["me"] == {CallKind.TRANSACT: 2}
 
     @on_network([Fate.LOSE_ANSWER])
-    async def test_lost_answer_is_read_back(self, client, http, platform):
+    async def test_lost_answer_is_resolved_by_reading_back(
+        self, client, http, platform
+    ):
         assert (await client.transact([write()])).ok == Committed(1)
         assert len(http.sent(TRANSACT_TARGET)) == 1
 
     @on_network([Fate.LOSE_CALL])
-    async def test_lost_call_is_sent_again_as_the_same(self, client, http, platform):
+    async def test_lost_call_is_retried_with_same_writer(self, client, http, platform):
         assert (await client.transact([write()])).ok == Committed(1)
         first, second = http.writers()
         assert first == second
         assert len(first) == 16
 
     @on_network([Fate.LATE])
-    async def test_late_copy_changes_nothing(self, client, http, platform):
+    async def test_delayed_copy_has_no_effect(self, client, http, platform):
         assert (await client.transact([write()])).ok == Committed(1)
         await client.transact([write(value=None, expected=1)])
-        await trio.sleep(LONG_AFTER)
+        await trio.sleep(SETTLED_SECONDS)
         assert platform.table.get("a").row() == Row("a", 2, None)
 
     @on_network([Fate.LOSE_ANSWER])
-    async def test_overwritten_row_leaves_it_unknown(self, client, http, platform):
+    async def test_overwritten_witness_is_inconclusive(self, client, http, platform):
         http.before = lambda: platform.table.transact("", [write(expected=None)])
         result = await client.transact([write(expected=1)])
         assert result.error.took_effect is None
         assert len(http.sent(TRANSACT_TARGET)) == 1
 
     @on_network([Fate.LOSE_CALL])
-    async def test_unconditional_write_is_not_sent_again(self, client, http, platform):
+    async def test_unconditional_write_is_not_retried(self, client, http, platform):
         result = await client.transact([write(expected=None)])
         assert result.error.took_effect is None
         assert len(http.sent(TRANSACT_TARGET)) == 1
 
     @on_network([Fate.LOSE_ANSWER])
-    async def test_unconditional_write_is_read_back(self, client, http, platform):
+    async def test_lost_answer_to_unconditional_write_is_read_back(
+        self, client, http, platform
+    ):
         assert (await client.transact([write(expected=None)])).ok == Committed(1)
 
     @on_network([Fate.LOSE_CALL])
-    async def test_mere_check_is_sent_again_without_read(self, client, http, platform):
+    async def test_check_only_is_retried_without_read(self, client, http, platform):
         check = Write("a", None, ABSENT, check_only=True)
         assert (await client.transact([check])).ok == Committed(1)
         assert len(http.requests) == 2
 
     @on_network([Fate.UNSENT] * 3)
-    async def test_unsent_transaction_did_not_run(self, client, http, platform):
+    async def test_unsent_transaction_has_no_effect(self, client, http, platform):
         result = await client.transact([write(expected=None)])
         assert result.error.took_effect is False
         assert (result.error.step, result.error.peer) == (Step.STORE, "p")
         assert len(http.requests) == 3
 
     @on_network([Fate.LOSE_CALL] + [Fate.DELIVER, Fate.UNSENT] * 2)
-    async def test_unknown_stays_unknown(self, client, http, platform):
+    async def test_unknown_outcome_stays_unknown_after_retries(
+        self, client, http, platform
+    ):
         assert (await client.transact([write()])).error.took_effect is None
 
     @on_network([Fate.HANG] * 20, PlatformClientSettings(timeout=2.0, attempts=9))
@@ -186,7 +192,7 @@
         assert trio.current_time() <= 2.0
 
     @on_network([], PlatformClientSettings(attempts=1))
-    async def test_standin_faults_pass_through(self, client, http, platform):
+    async def test_faults_of_the_standin_reach_the_client(self, client, http, platform):
         platform.view("me").cut = True
         assert (await client.transact([write()])).error.took_effect is False
         platform.view("me").cut = False
@@ -201,19 +207,19 @@
             ([write("a", None, ABSENT), write("b", b"", ABSENT)], "b"),
         ],
     )
-    def test_witness_is_a_guarded_write_if_any(self, writes, key):
+    def test_witness_is_a_guarded_write_if_there_is_one(self, writes, key):
         assert find_witness(writes).key == key
 
 
 class TestReads:
     @on_network([Fate.LOSE_CALL, Fate.UNSENT])
-    async def test_get_is_sent_again(self, client, http, platform):
+    async def test_get_is_retried(self, client, http, platform):
         assert (await client.get(["a"])).ok == [Row("a", ABSENT, None)]
         assert len(http.requests) == 3
         assert trio.current_time() <= 0.05 + 0.1
 
     @on_network([Fate.LOSE_CALL] * 3)
-    async def test_failed_read_has_no_effect(self, client, http, platform):
+    async def test_failed_read_reports_no_effect(self, client, http, platform):
         assert (await client.get(["a"])).error.took_effect is False
 
     @on_network([Fate.DELIVER, Fate.LOSE_ANSWER], PlatformClientSettings(page_limit=2))
@@ -227,7 +233,9 @@
         ]
 
     @on_network([Fate.DELIVER], PlatformClientSettings(page_limit=1))
-    async def test_row_changed_between_pages_counts_once(self, client, http, platform):
+    async def test_row_changed_between_pages_is_returned_once(
+        self, client, http, platform
+    ):
         table = platform.table
         table.transact("", [write("a")])
         table.transact("", [write("b")])
@@ -240,7 +248,7 @@
         assert (await client.read_since("", 0)).ok == table.read_since("", 0)
 
     @on_network([Fate.LOSE_ANSWER])
-    async def test_objects(self, client, http, platform):
+    async def test_objects_survive_lost_calls_and_answers(self, client, http, platform):
         assert (await client.get_object("x/y z")).ok is None
         http.fates = [Fate.LOSE_ANSWER]
         assert (await client.put_object("x/y z", b"1")).is_ok()
@@ -253,7 +261,9 @@
     @pytest.mark.parametrize(
         ("status", "took_effect", "requests"), [(502, None, 2), (413, False, 1)]
     )
-    def test_answers_of_other_servers(self, status, took_effect, requests):
+    def test_undecodable_error_of_a_balancer_is_classified_by_status(
+        self, status, took_effect, requests
+    ):
         class Balancer:
             requests = 0
 
@@ -272,7 +282,7 @@
 
 class TestBreaker:
     @on_network([Fate.LOSE_CALL] * 5)
-    async def test_opens_and_recovers(self, client, http, platform):
+    async def test_breaker_opens_and_recovers(self, client, http, platform):
         await client.get(["a"])
         await client.get(["a"])
         assert client.breaker.state is BreakerState.OPEN
@@ -284,7 +294,7 @@
         assert client.breaker.state is BreakerState.CLOSED
 
     @on_network([Fate.LOSE_CALL] * 5 + [Fate.HANG])
-    async def test_cancelled_probe_does_not_block(self, client, http, platform):
+    async def test_cancelled_probe_does_not_block_calls(self, client, http, platform):
         for _ in range(2):
             await client.get(["a"])
         await trio.sleep(1.0)
@@ -294,7 +304,7 @@
 
 
 class NaiveStore:
-    """A plain dictionary with the same meaning, and a record of all effects."""
+    """A dictionary with the semantics of the table, which records all effects."""
 
     def __init__(self):
         self.rows = {}
@@ -328,7 +338,7 @@
 
 
 class ComparedTable(Table):
-    """The real table; each delivery is compared with the naive one."""
+    """The stand-in's table; compares each verdict with that of the naive store."""
 
     def __init__(self):
         super().__init__()
@@ -344,7 +354,7 @@
 
 
 class Expect(Enum):
-    """Which version a generated write expects."""
+    """Which version a generated write expects the row to have."""
 
     ANY = "any"
     ABSENT = "absent"
@@ -360,11 +370,11 @@
     max_size=8,
 )
 FATES = st.lists(st.sampled_from(Fate), max_size=30)
-FOREIGN = st.lists(st.none() | st.tuples(KEYS, st.booleans()), max_size=30)
+FOREIGN_WRITES = st.lists(st.none() | st.tuples(KEYS, st.booleans()), max_size=30)
 
 
 class Differential:
-    """Random transactions through a client, with other writers between its calls."""
+    """Random transactions of one client, with writes of others between its calls."""
 
     def __init__(self, plans, fates, foreign):
         self.plans = plans
@@ -428,27 +438,27 @@
 
 class TestDifferential:
     @settings(max_examples=300)
-    @given(PLANS, FATES, FOREIGN)
-    def test_reports_agree_with_the_naive_store(self, plans, fates, foreign):
+    @given(PLANS, FATES, FOREIGN_WRITES)
+    def test_reported_outcomes_match_the_naive_store(self, plans, fates, foreign):
         run = Differential(plans, fates, foreign)
         trio.run(run.run, clock=MockClock(autojump_threshold=0))
         run.check()
 
 
 class TestOverHttp:
-    def test_client_and_standin_over_loopback(self):
+    def test_client_works_with_the_standin_over_loopback(self):
         async def main():
             async with trio.open_nursery() as nursery:
                 port = await nursery.start(serve_platform, "127.0.0.1", 0)
                 limits = PlatformClientSettings(timeout=120.0, attempt_timeout=60.0)
                 client = PlatformClient.connect("127.0.0.1", port, "me", limits)
-                await self.talk(client, client.channel.http)
+                await self.exercise_client(client, client.channel.http)
                 await client.aclose()
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
 
-    async def talk(self, client, http):
+    async def exercise_client(self, client, http):
         assert (await client.transact([write()])).ok == Committed(1)
         await self.set_faults(http, b'{"lose_next_answers": 1}')
         second = await client.transact([write(value=b"2", expected=1)])
--- a/bergamotcourse/virtual/pause.py
+++ b/bergamotcourse/virtual/pause.py
@@ -16,9 +16,9 @@
 from bergamotcourse.errors import Step
 from bergamotcourse.protocol.platform import Committed, PlatformError, Write
 from bergamotcourse.protocol.platform_transaction import (
-    Evidence,
+    ReadBackEvidence,
+    evaluate_witness,
     find_witness,
-    judge,
 )
 from bergamotcourse.standins.platform_store import ClientView
 
@@ -149,7 +149,7 @@
             evidence = await self._read_back(writer, writes)
             if isinstance(evidence, Committed):
                 return Ok(evidence)
-            if evidence is not Evidence.NOT_YET:
+            if evidence is not ReadBackEvidence.NOT_APPLIED_YET:
                 return verdict
         return verdict
 
@@ -171,12 +171,16 @@
 
     async def _read_back(
         self, writer: str, writes: list[Write]
-    ) -> Committed | Evidence:
+    ) -> Committed | ReadBackEvidence:
         witness = find_witness(writes)
         if witness is None:
-            return Evidence.NONE
+            return ReadBackEvidence.INCONCLUSIVE
         rows = await self._call(lambda: self.view.get_stored([witness.key]), False)
-        return judge(witness, rows.ok[0], writer) if rows.is_ok() else Evidence.NONE
+        return (
+            evaluate_witness(witness, rows.ok[0], writer)
+            if rows.is_ok()
+            else ReadBackEvidence.INCONCLUSIVE
+        )
 
     async def _call(self, work: Callable, late: bool | None) -> Result:
         with trio.move_on_after(self.timeout):
