--- a/bergamotcourse/__main__.py
+++ b/bergamotcourse/__main__.py
@@ -17,7 +17,7 @@
 from bergamotcourse.commands import validate as validate_command
 from bergamotcourse.errors import BergamotcourseError
 from bergamotcourse.state.manifest import Drain, DrainKind
-from bergamotcourse.state.settings import Kind
+from bergamotcourse.state.settings import ProcessKind
 
 SETTINGS = click.option(
     "--settings", required=True, metavar="FILE", help="Settings of the process (YAML)."
@@ -46,14 +46,14 @@
 @SETTINGS
 def entry(settings: str) -> None:
     """Run an entry: takes callers' jobs and session requests."""
-    sys.exit(processes.run_daemon(Kind.ENTRY, settings))
+    sys.exit(processes.run_daemon(ProcessKind.ENTRY, settings))
 
 
 @cli.command()
 @SETTINGS
 def agent(settings: str) -> None:
     """Run an agent beside an upstream."""
-    sys.exit(processes.run_daemon(Kind.AGENT, settings))
+    sys.exit(processes.run_daemon(ProcessKind.AGENT, settings))
 
 
 @cli.command()
@@ -69,7 +69,7 @@
     """Check a manifest or settings FILE whole: all errors and warnings at once."""
     if kind == "manifest":
         sys.exit(validate_command.validate(file, json))
-    sys.exit(validate_command.validate_settings(file, Kind(kind), json))
+    sys.exit(validate_command.validate_settings(file, ProcessKind(kind), json))
 
 
 @cli.command()
--- a/bergamotcourse/bench/capacity.py
+++ b/bergamotcourse/bench/capacity.py
@@ -88,7 +88,7 @@
 
 def fill_start_log(count: int) -> StartLog:
     """Return a start log with so many submissions of one task."""
-    log = StartLog(boot=9, token_ms=5_000, keep_ms=KEEP_MS, opened=True)
+    log = StartLog(boot=9, token_ms=5_000, retention_ms=KEEP_MS, epochs_loaded=True)
     for number in range(count):
         order = Order(identity(number), log.issue_token(0))
         log.admit(order, ADDRESS, 0)
--- a/bergamotcourse/bench/policy_load.py
+++ b/bergamotcourse/bench/policy_load.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from bergamotcourse.ids import ServiceName, SubmissionId, TeamId
-from bergamotcourse.state.submission import Kind, Submission, TaskRequest
+from bergamotcourse.state.submission import Submission, SubmissionKind, TaskRequest
 
 SHORTEST_SECONDS = 0.05
 USUAL_SECONDS = 1.0
@@ -99,7 +99,7 @@
 
 def make_submission(
     rng: random.Random,
-    kind: Kind,
+    kind: SubmissionKind,
     team: TeamId,
     weight: float,
     tasks: list[TaskRequest],
--- a/bergamotcourse/bench/policy_run.py
+++ b/bergamotcourse/bench/policy_run.py
@@ -29,7 +29,7 @@
 from bergamotcourse.coordination.submissions import Completed, Refused, SubmissionAnswer
 from bergamotcourse.ids import LinkAddress, TeamId
 from bergamotcourse.protocol.outcome import Outcome
-from bergamotcourse.state.submission import Kind
+from bergamotcourse.state.submission import SubmissionKind
 from bergamotcourse.virtual.clock import run_virtual
 from bergamotcourse.virtual.fleet import VirtualFleet
 
@@ -178,7 +178,7 @@
         deadline = trio.current_time() + stream.timeout
         weight = self.weight(stream.team)
         submission = make_submission(
-            self.rng, Kind.SESSION, stream.team, weight, [task], deadline
+            self.rng, SubmissionKind.SESSION, stream.team, weight, [task], deadline
         )
         process = self.fleet.entries[entry]
         return await process.entry.submissions.run_unkeyed(submission)
@@ -191,7 +191,7 @@
         entry = self.fleet.entries[self.pick_entry(plan.entry)].entry
         submission = make_submission(
             self.rng,
-            Kind.JOB,
+            SubmissionKind.JOB,
             plan.team,
             self.weight(plan.team),
             tasks,
--- a/bergamotcourse/bench/replay/run.py
+++ b/bergamotcourse/bench/replay/run.py
@@ -18,7 +18,7 @@
     JobSpec,
     StepSpec,
     TaskName,
-    job_of,
+    job_id_of_task,
 )
 from bergamotcourse.state.resources import Resources
 from bergamotcourse.virtual.clock import run_virtual
@@ -110,7 +110,7 @@
         runs = self.fleet.history[self.noted :]
         self.noted += len(runs)
         for run in runs:
-            job = job_of(run.key.task)
+            job = job_id_of_task(run.key.task)
             self.longest[job] = max(self.longest.get(job, 0.0), run.total)
         return self.longest.get(spec.id, spec.steps[0].estimate)
 
--- a/bergamotcourse/bench/stages.py
+++ b/bergamotcourse/bench/stages.py
@@ -41,7 +41,7 @@
     Start,
     TaskResult,
 )
-from bergamotcourse.state.submission import Kind, Submission, TaskRequest
+from bergamotcourse.state.submission import Submission, SubmissionKind, TaskRequest
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 from bergamotcourse.transport.http_client import HttpClient
 from bergamotcourse.transport.http_connection import ServerConnection, ServerLimits
@@ -132,7 +132,7 @@
 
     def submission() -> Submission:
         identity = SubmissionId(next(numbers).to_bytes(16))
-        kind = Kind.JOB if tasks > 1 else Kind.SESSION
+        kind = SubmissionKind.JOB if tasks > 1 else SubmissionKind.SESSION
         deadline = entry.timers.now() + 30
         work = [request] * tasks
         made = Submission(identity, kind, team, SERVICE, work, b"", deadline)
--- a/bergamotcourse/commands/connect.py
+++ b/bergamotcourse/commands/connect.py
@@ -11,7 +11,7 @@
 from bergamotcourse.errors import BergamotcourseError, Step, StepError
 from bergamotcourse.protocol.platform import Platform
 from bergamotcourse.protocol.platform_client import PlatformClient
-from bergamotcourse.state.settings import HIGHEST_PORT, Listen
+from bergamotcourse.state.settings import MAX_PORT, SocketAddress
 from bergamotcourse.transport.http_client import HttpClient
 
 CLIENT_NAME = "operator"
@@ -56,7 +56,7 @@
         await http.aclose()
 
 
-def parse_address(address: str) -> Result[Listen, StepError]:
+def parse_address(address: str) -> Result[SocketAddress, StepError]:
     """Return the literal IP number and the port of ``IP:PORT``."""
     host, _, port = address.rpartition(":")
     host = host.strip("[]")
@@ -65,7 +65,7 @@
     except ValueError:
         detail = f"{address!r} is not IP:PORT; give one such as 10.0.0.1:9000"
         return Error(StepError(Step.SETTINGS, "", detail))
-    if not (port.isascii() and port.isdigit() and 0 < int(port) <= HIGHEST_PORT):
-        detail = f"{port!r} is not a port; give one from 1 to {HIGHEST_PORT}"
+    if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
+        detail = f"{port!r} is not a port; give one from 1 to {MAX_PORT}"
         return Error(StepError(Step.SETTINGS, "", detail))
-    return Ok(Listen(host=host, port=int(port)))
+    return Ok(SocketAddress(host=host, port=int(port)))
--- a/bergamotcourse/commands/diff.py
+++ b/bergamotcourse/commands/diff.py
@@ -76,8 +76,8 @@
 def _echo(report: DiffReport, json: bool) -> ExitCode:
     if json:
         echo_json(report)
-    elif report.changes.all():
+    elif report.changes.sorted_by_path():
         echo_changes(report.changes)
     else:
         click.echo("no difference")
-    return ExitCode.DIFFERENT if report.changes.all() else ExitCode.OK
+    return ExitCode.DIFFERENT if report.changes.sorted_by_path() else ExitCode.OK
--- a/bergamotcourse/commands/manifest_file.py
+++ b/bergamotcourse/commands/manifest_file.py
@@ -6,13 +6,13 @@
 
 from bergamotcourse.commands.output import read_stdin
 from bergamotcourse.state.issues import Issue
-from bergamotcourse.state.manifest_checks import Loaded, parse_manifest
+from bergamotcourse.state.manifest_checks import ParsedManifest, parse_manifest
 from bergamotcourse.state.yaml_text import read_text
 
 STDIN = "-"
 
 
-def read_manifest_file(path: str) -> Result[Loaded, list[Issue]]:
+def read_manifest_file(path: str) -> Result[ParsedManifest, list[Issue]]:
     """Return the manifest of a file, or of stdin for ``-``."""
     if path == STDIN:
         return parse_manifest(read_stdin(), "stdin")
--- a/bergamotcourse/commands/processes.py
+++ b/bergamotcourse/commands/processes.py
@@ -14,12 +14,12 @@
 from bergamotcourse.errors import BergamotcourseError
 from bergamotcourse.standins.platform import serve_platform
 from bergamotcourse.standins.upstream import StandInUpstream, serve_upstream
-from bergamotcourse.state.settings import Kind, load_settings
+from bergamotcourse.state.settings import ProcessKind, load_settings
 
-RUNNERS = {Kind.ENTRY: run_entry, Kind.AGENT: run_agent}
+RUNNERS = {ProcessKind.ENTRY: run_entry, ProcessKind.AGENT: run_agent}
 
 
-def run_daemon(kind: Kind, path: str) -> int:
+def run_daemon(kind: ProcessKind, path: str) -> int:
     """Run a daemon by its settings file; return the exit code."""
     logging.basicConfig(level=logging.WARNING)
     match load_settings(path, kind):
--- a/bergamotcourse/commands/validate.py
+++ b/bergamotcourse/commands/validate.py
@@ -9,7 +9,7 @@
 from bergamotcourse.state.issues import Issue
 from bergamotcourse.state.manifest import digest
 from bergamotcourse.state.reference import manifest_schema
-from bergamotcourse.state.settings import Kind, load_settings
+from bergamotcourse.state.settings import ProcessKind, load_settings
 
 
 def validate(file: str, json: bool = False) -> int:
@@ -22,7 +22,7 @@
     return ExitCode.OK
 
 
-def validate_settings(file: str, kind: Kind, json: bool = False) -> int:
+def validate_settings(file: str, kind: ProcessKind, json: bool = False) -> int:
     """Check the settings of a process; return the exit code."""
     loaded = load_settings(file, kind)
     if loaded.is_error():
--- a/bergamotcourse/coordination/admission.py
+++ b/bergamotcourse/coordination/admission.py
@@ -12,7 +12,7 @@
 from bergamotcourse.coordination.estimates import RunEstimates
 from bergamotcourse.coordination.fair_queue import FairQueue
 from bergamotcourse.coordination.quotas import Quotas
-from bergamotcourse.state.submission import Kind, Submission
+from bergamotcourse.state.submission import Submission, SubmissionKind
 
 STANDING_QUEUE_SECONDS = 2.0
 """A queue that has been nonempty for this long counts as standing."""
@@ -90,7 +90,7 @@
         refusal = self._refuse_unservable(submission, backlog, now)
         if refusal is not None:
             return refusal
-        if submission.kind is Kind.JOB:
+        if submission.kind is SubmissionKind.JOB:
             return self._evaluate_job(submission, backlog, now)
         return self._evaluate_single(submission, backlog, now)
 
--- a/bergamotcourse/coordination/agent.py
+++ b/bergamotcourse/coordination/agent.py
@@ -242,7 +242,7 @@
         match admission:
             case Admission.ADMITTED:
                 self._admit_task(sender, start)
-            case Admission.COPY:
+            case Admission.DUPLICATE:
                 self._resend_result(sender, start)
             case Admission.ALREADY_STARTED:
                 kept = self.results.get(start.submission, start.index)
@@ -259,7 +259,7 @@
                 self._refuse(sender, start, admission.value, newer_epoch=True)
             case Admission.BARRED:
                 self._refuse(sender, start, admission.value, barred=True)
-            case Admission.CLOSED | Admission.FULL:
+            case Admission.EPOCHS_UNKNOWN | Admission.FULL:
                 self._refuse(sender, start, admission.value)
 
     def _refusal_reason(self, start: Start) -> str | None:
@@ -357,7 +357,7 @@
             StartRecord(
                 submission, s.range, s.attempt, now_ms - s.at_ms, s.claimant, s.digest
             )
-            for submission, s in self.start_log.started_in(ranges)
+            for submission, s in self.start_log.submissions_started_in(ranges)
         ]
         uptime_ms, first = self._start_log_coverage(now_ms)
         reply = StartLogReply(
@@ -389,7 +389,7 @@
         It is complete if it covers all starts that this identity ever admitted.
         """
         uptime_ms = now_ms - self.started_ms
-        memory_ms = self.start_log.memory_ms(uptime_ms)
+        memory_ms = self.start_log.coverage_ms(uptime_ms)
         return memory_ms, self.first and memory_ms == uptime_ms
 
     async def _send_heartbeats(self) -> None:
--- a/bergamotcourse/coordination/claims.py
+++ b/bergamotcourse/coordination/claims.py
@@ -72,7 +72,7 @@
         self.token_ms = int(token_seconds * 1000 * (1 + MAX_CLOCK_DRIFT_RATIO))
         self.runs_here = runs_here
         skew_ms = int(skew_seconds * 1000)
-        self.key_checker = KeyChecker(ownership, timers, ledger.keep_ms, skew_ms)
+        self.key_checker = KeyChecker(ownership, timers, ledger.retention_ms, skew_ms)
         self.counters = ClaimCounters()
         self.grants = ownership.rng.getrandbits(62)
 
--- a/bergamotcourse/coordination/config_audit.py
+++ b/bergamotcourse/coordination/config_audit.py
@@ -19,8 +19,8 @@
     NO_VERSION,
     Head,
     Record,
+    apply_record,
     decode_record,
-    follow,
 )
 from bergamotcourse.state.manifest import Manifest
 
@@ -94,7 +94,7 @@
         return False
     if not audit_filter.path or record.changes is None:
         return True
-    paths = [str(change.path) for change in record.changes.all()]
+    paths = [str(change.path) for change in record.changes.sorted_by_path()]
     return any(path.startswith(audit_filter.path) for path in paths)
 
 
@@ -165,7 +165,7 @@
     ) -> Result[Manifest, StepError]:
         if record.changes is None:
             return await read_manifest(platform, record)
-        return follow(self.manifest, record)
+        return apply_record(self.manifest, record)
 
 
 async def _read_record_rows(
--- a/bergamotcourse/coordination/config_rows.py
+++ b/bergamotcourse/coordination/config_rows.py
@@ -17,8 +17,8 @@
     NO_VERSION,
     Head,
     Record,
-    check_content,
     decode_head,
+    decode_manifest_object,
     decode_record,
 )
 from bergamotcourse.state.manifest import Manifest
@@ -60,7 +60,7 @@
         return Error(result.error)
     if result.ok is None:
         return Error(StepError(Step.STORE, source.object_name, "the object is missing"))
-    return check_content(result.ok, source.digest, source.object_name)
+    return decode_manifest_object(result.ok, source.digest, source.object_name)
 
 
 async def read_record(
--- a/bergamotcourse/coordination/config_store.py
+++ b/bergamotcourse/coordination/config_store.py
@@ -36,12 +36,12 @@
     NO_VERSION,
     Head,
     Record,
-    changes_that_fit,
+    changes_within_limit,
     encode_head,
     encode_record,
-    head_of,
+    head_from_record,
     object_name,
-    seal,
+    with_record_hash,
 )
 from bergamotcourse.state.manifest import Manifest, digest, encode_manifest
 from bergamotcourse.state.manifest_diff import Changes, diff_manifests
@@ -211,7 +211,7 @@
     """Return the record of a proposal as the successor of the head."""
     version = ConfigVersion(head.version + 1)
     content_digest = digest(proposal.manifest)
-    return seal(
+    return with_record_hash(
         Record(
             version=version,
             writer=uuid.uuid4().hex,
@@ -222,7 +222,7 @@
             previous_digest=head.digest,
             object_name=object_name(version, content_digest),
             rollback_to=proposal.rollback_to,
-            changes=changes_that_fit(changes),
+            changes=changes_within_limit(changes),
             previous_hash=head.record_hash,
         )
     )
@@ -246,7 +246,7 @@
 ) -> Result[bool, StepError]:
     """Write the head and the record; return whether the record was committed."""
     writes = [
-        Write(HEAD_KEY, encode_head(head_of(record)), row.version),
+        Write(HEAD_KEY, encode_head(head_from_record(record)), row.version),
         Write(record_key(record.version), encode_record(record), ABSENT),
     ]
     in_doubt = False
--- a/bergamotcourse/coordination/config_watch.py
+++ b/bergamotcourse/coordination/config_watch.py
@@ -29,11 +29,11 @@
     NO_VERSION,
     Head,
     Record,
-    check_content,
+    apply_record,
     decode_head,
+    decode_manifest_object,
     decode_record,
     encode_record,
-    follow,
 )
 from bergamotcourse.state.manifest import Manifest, canonical, encode_manifest
 
@@ -169,7 +169,7 @@
         if decoded.is_error():
             return False
         record = decoded.ok
-        content = check_content(snapshot.content, record.digest, "offer")
+        content = decode_manifest_object(snapshot.content, record.digest, "offer")
         if content.is_error():
             return False
         self._put_in_force(record, content.ok)
@@ -228,7 +228,7 @@
                 continue
             if record.previous_hash != self.record_hash:
                 return
-            after = follow(self.manifest, record)
+            after = apply_record(self.manifest, record)
             if after.is_error():
                 return
             self._put_in_force(record, after.ok)
--- a/bergamotcourse/coordination/epoch_reader.py
+++ b/bergamotcourse/coordination/epoch_reader.py
@@ -22,4 +22,4 @@
         if row.value is not None:
             epoch = msgspec.json.decode(row.value, type=RangeRow).epoch
             start_log.fence(range_of_key(row.key), epoch)
-    start_log.opened = True
+    start_log.epochs_loaded = True
--- a/bergamotcourse/coordination/jobs/agent_link.py
+++ b/bergamotcourse/coordination/jobs/agent_link.py
@@ -28,7 +28,7 @@
     WithdrawTask,
 )
 from bergamotcourse.protocol.upstream_orders import RunKey
-from bergamotcourse.state.resources import NOTHING, Resources
+from bergamotcourse.state.resources import NO_RESOURCES, Resources
 
 MAX_MISSED_HEARTBEATS = 2
 """Consecutive messages of an agent out of contact that may be lost before the entry
@@ -81,14 +81,14 @@
     handshake_started_at: float | None = None
     handshake_unanswered: bool = False
     room: AgentRoom | None = None
-    largest_capacity: Resources = NOTHING
+    largest_capacity: Resources = NO_RESOURCES
     outgoing: OutgoingStream[PlaceTask | WithdrawTask] = field(
         default_factory=OutgoingStream
     )
     incoming: IncomingStream[TaskEnded] = field(default_factory=IncomingStream)
     placed: dict[RunKey, Any] = field(default_factory=dict)
     needs: dict[RunKey, Resources] = field(default_factory=dict)
-    placed_needs: Resources = NOTHING
+    placed_needs: Resources = NO_RESOURCES
     former_boot_runs: set[RunKey] = field(default_factory=set)
     last_request: str = ""
 
@@ -231,7 +231,7 @@
 
     def _update_room(self, room: AgentRoom) -> None:
         if self.room is not None and room.service != self.room.service:
-            self.largest_capacity = NOTHING
+            self.largest_capacity = NO_RESOURCES
         if not room.capacity.fits(self.largest_capacity):
             self.largest_capacity = self.largest_capacity | room.capacity
         self.room = room
--- a/bergamotcourse/coordination/jobs/executor.py
+++ b/bergamotcourse/coordination/jobs/executor.py
@@ -45,7 +45,7 @@
     StartVerdict,
     UpstreamReport,
 )
-from bergamotcourse.state.resources import NOTHING, Resources
+from bergamotcourse.state.resources import NO_RESOURCES, Resources
 
 NO_ROOM_BACKOFF_SECONDS = 0.02
 """Delay before the next start after the upstream refused one for lack of room, although
@@ -251,7 +251,7 @@
     def capacity(self) -> Resources:
         """Return the upstream's capacity, or nothing while no run is accepted."""
         if self.refusal() is not None:
-            return NOTHING
+            return NO_RESOURCES
         return self.life.report.capacity
 
     # Queue and starts.
--- a/bergamotcourse/coordination/jobs/run_registry.py
+++ b/bergamotcourse/coordination/jobs/run_registry.py
@@ -8,7 +8,7 @@
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.task_messages import RunOutcome, TaskEnded
 from bergamotcourse.protocol.upstream_orders import RunKey
-from bergamotcourse.state.resources import NOTHING, Resources
+from bergamotcourse.state.resources import NO_RESOURCES, Resources
 
 QUEUE_LOOKAHEAD_RUNS = 4
 """Queued runs behind the first that may overtake it if they fit and it does not."""
@@ -37,8 +37,8 @@
         self.room_changed: Callable[[], None] = lambda: None
         self.runs: dict[RunKey, PlacedRun] = {}
         self.queue: list[PlacedRun] = []
-        self.used = NOTHING
-        self.total = NOTHING
+        self.used = NO_RESOURCES
+        self.total = NO_RESOURCES
         self.needs_by_entry: dict[LinkAddress, Resources] = {}
         self.run_counts: Counter[LinkAddress] = Counter()
 
@@ -127,4 +127,4 @@
         """Return the total needs of all runs, or of those of one entry."""
         if entry is None:
             return self.total
-        return self.needs_by_entry.get(entry, NOTHING)
+        return self.needs_by_entry.get(entry, NO_RESOURCES)
--- a/bergamotcourse/coordination/jobs/store_watch.py
+++ b/bergamotcourse/coordination/jobs/store_watch.py
@@ -14,7 +14,7 @@
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.job_store import ConfigRead, HistoryGoneError, JobStore
 from bergamotcourse.protocol.upstream_orders import UpstreamReport
-from bergamotcourse.state.evacuations import Evacuations, apply_changes
+from bergamotcourse.state.evacuations import Evacuations, apply_zone_changes
 
 T = TypeVar("T")
 
@@ -184,7 +184,7 @@
         if read.is_snapshot:
             zones = sorted(change.zone for change in read.zones)
             return Evacuations(read.position, tuple(zones))
-        return apply_changes(self.zones.latest, read.zones)
+        return apply_zone_changes(self.zones.latest, read.zones)
 
 
 class EntryRows:
--- a/bergamotcourse/coordination/jobs/task_runs.py
+++ b/bergamotcourse/coordination/jobs/task_runs.py
@@ -6,7 +6,7 @@
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.task_messages import PlaceTask
 from bergamotcourse.protocol.upstream_orders import RunKey
-from bergamotcourse.state.resources import NOTHING, Resources
+from bergamotcourse.state.resources import NO_RESOURCES, Resources
 
 
 class RunState(Enum):
@@ -55,7 +55,7 @@
     @property
     def needs(self) -> Resources:
         """Return the resources that the run needs."""
-        return self.order.needs if self.order else NOTHING
+        return self.order.needs if self.order else NO_RESOURCES
 
     @property
     def occupies_room(self) -> bool:
--- a/bergamotcourse/coordination/journal.py
+++ b/bergamotcourse/coordination/journal.py
@@ -161,7 +161,7 @@
         return record and journal_record(submission, record)
 
     def _deletions(self, now: float) -> list[Write]:
-        keep = 2 * self.ledger.keep_ms / 1000
+        keep = 2 * self.ledger.retention_ms / 1000
         # The oldest are first, so the scan stops early instead of visiting every row.
         old = takewhile(lambda row: now - row[1] > keep, self.written_rows)
         return [
--- a/bergamotcourse/coordination/range_recovery.py
+++ b/bergamotcourse/coordination/range_recovery.py
@@ -152,7 +152,7 @@
     @property
     def keep_seconds(self) -> float:
         """Return the retention period of submissions, in seconds."""
-        return self.ledger.keep_ms / 1000
+        return self.ledger.retention_ms / 1000
 
     async def _advance(self, recovery: RecoveryProgress) -> None:
         if recovery.agents is None:
@@ -208,7 +208,7 @@
         if known is not None and known.attempt > record.attempt:
             return
         now_ms = self.timers.now_ms()
-        oldest_ms = now_ms - 2 * self.ledger.keep_ms
+        oldest_ms = now_ms - 2 * self.ledger.retention_ms
         claimed_ms = seen.earliest_time_of(record.claimed_ms) * 1000
         restored = LedgerRecord(
             range=RangeId(record.range),
@@ -274,7 +274,7 @@
             attempt=Attempt(record.attempt),
             at_ms=self.timers.now_ms(),
             # The claim precedes the start by at most a submission's maximum lifetime.
-            claimed_ms=self.timers.now_ms() - age_ms - self.ledger.keep_ms // 2,
+            claimed_ms=self.timers.now_ms() - age_ms - self.ledger.retention_ms // 2,
         )
 
     def _open_ranges(self, recovery: RecoveryProgress) -> None:
--- a/bergamotcourse/coordination/submissions.py
+++ b/bergamotcourse/coordination/submissions.py
@@ -84,7 +84,7 @@
         self.answers = answers
         self.mailer = mailer
         self.timers = timers
-        self.max_run_seconds = answers.keep_seconds / 2
+        self.max_run_seconds = answers.retention_seconds / 2
         self.nursery: trio.Nursery | None = None
         self.joining: dict[bytes, Joining] = {}
         self.on_granted: Callable[[Submission], None] = lambda _submission: None
--- a/bergamotcourse/coordination/tasks.py
+++ b/bergamotcourse/coordination/tasks.py
@@ -7,7 +7,7 @@
 from bergamotcourse.coordination.fair_queue import QueuedItem, Urgency
 from bergamotcourse.protocol.messages import TaskResult
 from bergamotcourse.protocol.outcome import Outcome
-from bergamotcourse.state.submission import Kind, Submission
+from bergamotcourse.state.submission import Submission, SubmissionKind
 
 MAX_URGENCY_SECONDS = 2.0
 """Requests with at least this much time left on arrival are ordered by arrival. One
@@ -60,7 +60,7 @@
     @property
     def job(self) -> bool:
         """Whether the task belongs to a job."""
-        return self.submission.kind is Kind.JOB
+        return self.submission.kind is SubmissionKind.JOB
 
     @property
     def urgency(self) -> Urgency:
--- a/bergamotcourse/daemons/admin_manifest.py
+++ b/bergamotcourse/daemons/admin_manifest.py
@@ -31,7 +31,7 @@
 from bergamotcourse.ids import ConfigVersion
 from bergamotcourse.state.config_record import Record
 from bergamotcourse.state.manifest import Manifest, digest
-from bergamotcourse.state.manifest_checks import Loaded, parse_manifest
+from bergamotcourse.state.manifest_checks import ParsedManifest, parse_manifest
 from bergamotcourse.state.manifest_diff import diff_manifests
 from bergamotcourse.state.masking import mask_changes, mask_manifest
 from bergamotcourse.transport.http import HttpResponse
@@ -227,7 +227,7 @@
 
 def _load(
     request: AdminRequest, kind: type
-) -> Result[tuple[ManifestBody | ApplyBody, Loaded], HttpResponse]:
+) -> Result[tuple[ManifestBody | ApplyBody, ParsedManifest], HttpResponse]:
     """Return a body and the manifest in it, or the refusal."""
     body = request.decode(kind)
     if body.is_error():
--- a/bergamotcourse/daemons/admin_teams.py
+++ b/bergamotcourse/daemons/admin_teams.py
@@ -11,7 +11,7 @@
     admin_problem,
 )
 from bergamotcourse.state.manifest import Team, TeamRole
-from bergamotcourse.state.submission import Kind, Submission
+from bergamotcourse.state.submission import Submission, SubmissionKind
 from bergamotcourse.transport.http import HttpResponse
 from bergamotcourse.transport.http_json import json_answer
 
@@ -76,7 +76,7 @@
     jobs = [
         _job(submission)
         for submission in _submissions(request)
-        if submission.team == team.name and submission.kind is Kind.JOB
+        if submission.team == team.name and submission.kind is SubmissionKind.JOB
     ]
     return json_answer(jobs[:MOST_JOBS])
 
--- a/bergamotcourse/daemons/caller.py
+++ b/bergamotcourse/daemons/caller.py
@@ -14,7 +14,7 @@
 from bergamotcourse.protocol.outcome import Outcome
 from bergamotcourse.state.keys import key_kind
 from bergamotcourse.state.manifest import Service, Team, TeamRole
-from bergamotcourse.state.submission import Kind, Submission, TaskRequest
+from bergamotcourse.state.submission import Submission, SubmissionKind, TaskRequest
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 
 
@@ -51,7 +51,11 @@
         return None
 
     def submission(
-        self, kind: Kind, service: Service, tasks: list[TaskRequest], timeout: float
+        self,
+        kind: SubmissionKind,
+        service: Service,
+        tasks: list[TaskRequest],
+        timeout: float,
     ) -> Submission:
         """Return a submission without a key; its deadline is in so many seconds."""
         return Submission(
--- a/bergamotcourse/daemons/job_api.py
+++ b/bergamotcourse/daemons/job_api.py
@@ -12,7 +12,7 @@
 from bergamotcourse.protocol.job_body import JobBody, parse_job, task_request
 from bergamotcourse.state.keys import key_kind
 from bergamotcourse.state.manifest import JobClass, Service, TeamRole
-from bergamotcourse.state.submission import Kind, Submission, TaskRequest
+from bergamotcourse.state.submission import Submission, SubmissionKind, TaskRequest
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 
 JOBS_PATH = "/v1/jobs"
@@ -89,7 +89,7 @@
     job_class = _job_class(caller, job)
     longest = job_class.timeout_seconds if job_class else service.timeout_seconds
     timeout = min(job.timeout_seconds or longest, longest)
-    return caller.submission(Kind.JOB, service, tasks, timeout)
+    return caller.submission(SubmissionKind.JOB, service, tasks, timeout)
 
 
 def _job_class(caller: Caller, job: JobBody) -> JobClass | None:
--- a/bergamotcourse/daemons/metrics.py
+++ b/bergamotcourse/daemons/metrics.py
@@ -12,7 +12,7 @@
 
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.daemons.metric_names import MetricKind
-from bergamotcourse.state.settings import Listen
+from bergamotcourse.state.settings import SocketAddress
 
 REPORT_SECONDS = 5.0
 TIMINGS_KEPT = 32
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        listen: Listen,
+        listen: SocketAddress,
         role: str,
         name: str,
         sample: Callable[[], Sample],
--- a/bergamotcourse/daemons/request_fields.py
+++ b/bergamotcourse/daemons/request_fields.py
@@ -5,7 +5,7 @@
 import msgspec
 import xxhash
 
-from bergamotcourse.state.keys import LONGEST_KEY
+from bergamotcourse.state.keys import MAX_KEY_LENGTH
 from bergamotcourse.state.manifest import IDEMPOTENT_METHODS, Service
 from bergamotcourse.state.submission import TaskRequest
 from bergamotcourse.transport.http import HttpRequest
@@ -36,8 +36,8 @@
 
 def check_key(key: str) -> str:
     """Return what is wrong with an idempotency key, if anything."""
-    if len(key) > LONGEST_KEY or not key.isascii() or not key.isprintable():
-        return f"the key is over {LONGEST_KEY} characters or not printable ASCII"
+    if len(key) > MAX_KEY_LENGTH or not key.isascii() or not key.isprintable():
+        return f"the key is over {MAX_KEY_LENGTH} characters or not printable ASCII"
     if "/" in key or "?" in key or "#" in key:
         return "the key has a character that a path cannot have: / ? or #"
     return ""
--- a/bergamotcourse/daemons/session_api.py
+++ b/bergamotcourse/daemons/session_api.py
@@ -11,7 +11,7 @@
     parse_seconds,
 )
 from bergamotcourse.daemons.responses import problem, session_response
-from bergamotcourse.state.submission import Kind, TaskRequest
+from bergamotcourse.state.submission import SubmissionKind, TaskRequest
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 
 SESSION_PREFIX = "/s/"
@@ -30,7 +30,7 @@
         return problem(HTTPStatus.BAD_REQUEST, detail)
     headers = [(n, v) for n, v in request.headers if n not in NOT_FORWARDED]
     task = TaskRequest(request.method, f"/{rest}", headers, request.body)
-    submission = caller.submission(Kind.SESSION, service, [task], timeout)
+    submission = caller.submission(SubmissionKind.SESSION, service, [task], timeout)
     idempotent = is_idempotent(request, service)
     key = request.header(KEY_HEADER)
     if key:
--- a/bergamotcourse/standins/order_upstream.py
+++ b/bergamotcourse/standins/order_upstream.py
@@ -24,7 +24,7 @@
     StartVerdict,
     UpstreamReport,
 )
-from bergamotcourse.state.resources import NOTHING, Resources
+from bergamotcourse.state.resources import NO_RESOURCES, Resources
 
 MOST_LEASE_SECONDS = 1.0
 STOP_SECONDS = 0.05
@@ -240,7 +240,7 @@
 
     def used(self) -> Resources:
         """Return what the runs take."""
-        return sum((run.needs for run in self.running.values()), NOTHING)
+        return sum((run.needs for run in self.running.values()), NO_RESOURCES)
 
     def _renew(self, until: float) -> None:
         until = min(until, self.clock() + MOST_LEASE_SECONDS)
--- a/bergamotcourse/state/__init__.py
+++ b/bergamotcourse/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a process remembers: ledgers, start logs and configuration."""
+"""State kept by a process: ledgers, start logs and configuration."""
--- a/bergamotcourse/state/answers.py
+++ b/bergamotcourse/state/answers.py
@@ -1,31 +1,37 @@
-"""Submissions whose answers an entry keeps for those who submit them again."""
+"""Store of submissions, from which an entry answers resubmissions."""
 
 from collections import OrderedDict
 
 from bergamotcourse.state.submission import Submission
 
-FIXED_BYTES = 1000
+SUBMISSION_OVERHEAD_BYTES = 1000
+"""Counted for each completed submission in addition to its result bodies."""
 
 
 class AnswerStore:
-    """Keeps submissions, running and done, bounded in time and bytes.
+    """Keeps running submissions, and completed ones up to a size and an age.
 
-    A running submission is always kept. Of the done ones the oldest go first.
+    Running submissions are never evicted. Of the completed ones, the one that completed
+    first is evicted first.
 
     Attributes:
-        limit: The most bytes of answers kept.
-        keep_seconds: How long an answer is kept at most.
+        limit: Maximum size of the completed submissions, in bytes.
+        retention_seconds: Maximum age of a completed submission, in seconds.
+        size: Current size of the completed submissions, in bytes.
+        running: The running submissions, by id.
+        done: Completion time, size in bytes and submission, by id, in the order of
+            completion.
     """
 
-    def __init__(self, limit: int, keep_seconds: float):
+    def __init__(self, limit: int, retention_seconds: float):
         self.limit = limit
-        self.keep_seconds = keep_seconds
+        self.retention_seconds = retention_seconds
         self.size = 0
         self.running: dict[bytes, Submission] = {}
         self.done: OrderedDict[bytes, tuple[float, int, Submission]] = OrderedDict()
 
     def get(self, submission: bytes) -> Submission | None:
-        """Return a submission that runs here or whose answer is kept."""
+        """Return a running or completed submission, or ``None`` if it is not stored."""
         running = self.running.get(submission)
         if running is not None:
             return running
@@ -33,29 +39,31 @@
         return kept[2] if kept else None
 
     def begin(self, submission: Submission) -> None:
-        """Keep a submission while it runs."""
+        """Add a running submission; replaces an earlier one with the same id."""
         self.drop(submission.id)
         self.running[submission.id] = submission
 
     def finish(self, submission: Submission, now: float) -> None:
-        """Keep the answer of a submission that is done."""
+        """Move a submission from running to completed; ignored unless it is running."""
         if self.running.pop(submission.id, None) is None:
             return
-        size = FIXED_BYTES + sum(len(result.body) for result in submission.results)
+        size = SUBMISSION_OVERHEAD_BYTES + sum(
+            len(result.body) for result in submission.results
+        )
         self.done[submission.id] = (now, size, submission)
         self.size += size
-        self._forget(now)
+        self._evict(now)
 
     def drop(self, submission: bytes) -> None:
-        """Forget a submission."""
+        """Remove a submission, whether running or completed."""
         self.running.pop(submission, None)
         kept = self.done.pop(submission, None)
         if kept is not None:
             self.size -= kept[1]
 
-    def _forget(self, now: float) -> None:
+    def _evict(self, now: float) -> None:
         while self.done:
             submission, (at, _, _) = next(iter(self.done.items()))
-            if self.size <= self.limit and now - at <= self.keep_seconds:
+            if self.size <= self.limit and now - at <= self.retention_seconds:
                 return
             self.drop(submission)
--- a/bergamotcourse/state/config_record.py
+++ b/bergamotcourse/state/config_record.py
@@ -1,7 +1,8 @@
-"""What is written for each accepted version of the configuration.
+"""Records of the accepted configuration versions.
 
-A record is the delta that processes apply and the audit trail's entry at once. Each
-carries the hash of the one before, so that a missing or altered one shows.
+A record is both the delta that processes apply and the entry in the audit trail. Each
+record carries the hash of its predecessor, so that a missing or altered record is
+detected.
 """
 
 from dataclasses import dataclass, replace
@@ -16,30 +17,34 @@
 from bergamotcourse.state.manifest_diff import Changes, apply_changes
 
 NO_VERSION = ConfigVersion(0)
-"""Before the first configuration was accepted."""
+"""The version before the first configuration is accepted."""
 
 EMPTY_MANIFEST = Manifest(release="none")
 """The manifest of ``NO_VERSION``."""
 
 FIRST_HASH = "0" * 64
-"""Stands as the previous hash of the first record."""
+"""Previous hash in the first record."""
 
 MAX_DELTA_BYTES = 32 * 1024
-"""A longer list of changes is left out of the record; the object has the whole."""
+"""Records omit a longer list of changes; the full manifest is stored as an object."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Record:
-    """One accepted version.
+    """The record of one accepted version.
 
     Attributes:
-        writer: A random id, which tells equal records of two writers apart.
-        when: Wall clock of the writer, ISO 8601 in UTC; for people only.
-        digest: Of the manifest after the changes.
-        object_name: Where the full manifest is.
-        rollback_to: The version whose content this one brings back, or 0.
-        changes: From the version before; ``None`` where they are too long.
-        hash: sha256 over the previous record's hash and this record without it.
+        version: The version that this record introduces.
+        writer: Random id that distinguishes otherwise equal records of two writers.
+        who: The operator who applied the version.
+        when: Wall clock of the writer, ISO 8601 in UTC; informational only.
+        digest: Digest of the manifest after the changes.
+        previous_digest: Digest of the manifest before the changes.
+        object_name: Name of the object that holds the full manifest.
+        rollback_to: The version whose content this one restores, or 0.
+        changes: Changes from the previous version; ``None`` if they are too long.
+        previous_hash: Hash of the previous version's record.
+        hash: SHA-256 of the previous record's hash and this record without its hash.
     """
 
     version: ConfigVersion
@@ -58,7 +63,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Head:
-    """The newest accepted version, in the one row that every accept bumps."""
+    """The newest accepted version, stored in a single row that every accept updates."""
 
     version: ConfigVersion
     digest: str
@@ -80,19 +85,19 @@
 )
 
 
-def seal(record: Record) -> Record:
-    """Return the record with its hash."""
+def with_record_hash(record: Record) -> Record:
+    """Return the record with its ``hash`` field set."""
     return replace(record, hash=record_hash(record))
 
 
 def record_hash(record: Record) -> str:
-    """Return the hash that a record must carry."""
+    """Return the expected hash of a record, as hex digits."""
     body = msgspec.json.encode(replace(record, hash=""), order="deterministic")
     return sha256(record.previous_hash.encode() + body).hexdigest()
 
 
-def head_of(record: Record) -> Head:
-    """Return the head that stands beside a record."""
+def head_from_record(record: Record) -> Head:
+    """Return the head that corresponds to the record of the newest version."""
     return Head(
         version=record.version,
         digest=record.digest,
@@ -105,67 +110,85 @@
 
 
 def object_name(version: ConfigVersion, content_digest: str) -> str:
-    """Return the name of a full manifest; racing writers never share one."""
+    """Return the object name of a full manifest.
+
+    The name contains the digest, so that concurrent writers of a version never share an
+    object unless its content is the same.
+    """
     return f"config/{version:010d}-{content_digest}"
 
 
 def encode_record(record: Record) -> bytes:
-    """Return the record as bytes."""
+    """Return the record as canonical JSON."""
     return msgspec.json.encode(record, order="deterministic")
 
 
 def decode_record(content: bytes, key: str) -> Result[Record, StepError]:
-    """Return the record of a row, or why it is none; its hash must be right."""
+    """Return the record in a row; malformed content or a wrong hash is an error."""
     try:
         record = msgspec.json.decode(content, type=Record)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        return Error(StepError(Step.DECODE, key, f"no record: {error}"))
+        return Error(StepError(Step.DECODE, key, f"malformed record: {error}"))
     if record.hash != record_hash(record):
         return Error(StepError(Step.DECODE, key, "the record was altered"))
     return Ok(record)
 
 
 def encode_head(head: Head) -> bytes:
-    """Return the head as bytes."""
+    """Return the head as canonical JSON."""
     return msgspec.json.encode(head, order="deterministic")
 
 
 def decode_head(content: bytes | None, key: str) -> Result[Head, StepError]:
-    """Return the head of its row; ``NO_HEAD`` for a missing row."""
+    """Return the head in a row, or ``NO_HEAD`` if the row does not exist."""
     if content is None:
         return Ok(NO_HEAD)
     try:
         return Ok(msgspec.json.decode(content, type=Head))
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        return Error(StepError(Step.DECODE, key, f"no head: {error}"))
+        return Error(StepError(Step.DECODE, key, f"malformed head: {error}"))
 
 
-def check_content(
-    content: bytes, wanted: str, name: str
+def decode_manifest_object(
+    content: bytes, expected_digest: str, name: str
 ) -> Result[Manifest, StepError]:
-    """Return the manifest of an object, if it has the wanted digest."""
+    """Return the manifest in an object; an unexpected digest is an error."""
     try:
         manifest = msgspec.json.decode(content, type=Manifest)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        return Error(StepError(Step.DECODE, name, f"no manifest: {error}"))
-    if digest(manifest) != wanted:
-        return Error(StepError(Step.DECODE, name, "not the content of its digest"))
+        return Error(StepError(Step.DECODE, name, f"malformed manifest: {error}"))
+    if digest(manifest) != expected_digest:
+        return Error(
+            StepError(Step.DECODE, name, "the content does not match its digest")
+        )
     return Ok(manifest)
 
 
-def follow(manifest: Manifest, record: Record) -> Result[Manifest, StepError]:
-    """Return the manifest after a record, if the digests before and after fit."""
-    place = f"version {record.version}"
+def apply_record(manifest: Manifest, record: Record) -> Result[Manifest, StepError]:
+    """Return the manifest after a record.
+
+    It is an error if the record has no changes or if the digest before or after the
+    changes differs from the one in the record.
+    """
+    subject = f"version {record.version}"
     if record.changes is None:
-        return Error(StepError(Step.DECODE, place, "the record has no changes"))
+        return Error(StepError(Step.DECODE, subject, "the record has no changes"))
     if digest(manifest) != record.previous_digest:
-        return Error(StepError(Step.DECODE, place, "made for another manifest"))
+        return Error(
+            StepError(
+                Step.DECODE, subject, "the record applies to a different manifest"
+            )
+        )
     result = apply_changes(manifest, record.changes)
     if result.is_ok() and digest(result.ok) != record.digest:
-        return Error(StepError(Step.DECODE, place, "leads to another digest"))
+        return Error(
+            StepError(
+                Step.DECODE, subject, "the resulting manifest does not match its digest"
+            )
+        )
     return result
 
 
-def changes_that_fit(changes: Changes) -> Changes | None:
-    """Return the changes, or ``None`` where they are too long for a record."""
+def changes_within_limit(changes: Changes) -> Changes | None:
+    """Return the changes, or ``None`` if they are too long for a record."""
     return changes if len(msgspec.json.encode(changes)) <= MAX_DELTA_BYTES else None
--- a/bergamotcourse/state/evacuations.py
+++ b/bergamotcourse/state/evacuations.py
@@ -6,11 +6,11 @@
 
 
 class Evacuations(msgspec.Struct, frozen=True, array_like=True):
-    """The zones in which nothing more is started.
+    """The evacuated zones: no new work is started in them.
 
     Attributes:
-        version: Of the store's content that this tells of; the higher one is newer.
-        zones: The zones, in order of name.
+        version: Version of the store's content that this reflects; higher is newer.
+        zones: The names of the zones, sorted.
     """
 
     version: int = 0
@@ -18,10 +18,11 @@
 
 
 class ZoneChange(msgspec.Struct, frozen=True):
-    """One zone was evacuated, or taken back.
+    """A zone was evacuated or returned to service.
 
     Attributes:
-        version: Of the store once it was.
+        evacuated: Whether the zone was evacuated; false if it returned to service.
+        version: Version of the store's content after the change.
     """
 
     zone: ZoneName
@@ -29,8 +30,10 @@
     version: int
 
 
-def apply_changes(before: Evacuations, changes: tuple[ZoneChange, ...]) -> Evacuations:
-    """Return the zones after changes in their order; those known already are left."""
+def apply_zone_changes(
+    before: Evacuations, changes: tuple[ZoneChange, ...]
+) -> Evacuations:
+    """Apply changes in order, except those not newer than the version reached."""
     version = before.version
     zones = set(before.zones)
     for change in changes:
--- a/bergamotcourse/state/issues.py
+++ b/bergamotcourse/state/issues.py
@@ -1,11 +1,11 @@
-"""Faults of a document, as values."""
+"""Errors and warnings found in a document."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Severity(Enum):
-    """Whether an issue prevents the use of the document."""
+    """Whether an issue prevents the document from being used."""
 
     ERROR = "error"
     WARNING = "warning"
@@ -13,11 +13,12 @@
 
 @dataclass(frozen=True)
 class Issue:
-    """One fault of a document.
+    """An error or warning on a document.
 
     Attributes:
-        path: Keys from the top to the fault, as in ``http.port`` or ``teams[2].name``.
-        detail: The value at fault and how to mend it.
+        file: Name of the document.
+        path: Path of the field, as in ``http.port`` or ``teams[2].name``; may be empty.
+        detail: The offending value and how to correct it.
     """
 
     file: str
@@ -26,17 +27,17 @@
     severity: Severity = Severity.ERROR
 
     def __str__(self) -> str:
-        """Return the issue as one line."""
-        place = f"{self.path}: " if self.path else ""
+        """Return the issue as a line of text."""
+        location = f"{self.path}: " if self.path else ""
         mark = "warning: " if self.severity is Severity.WARNING else ""
-        return f"{self.file}: {mark}{place}{self.detail}"
+        return f"{self.file}: {mark}{location}{self.detail}"
 
 
 def errors(issues: list[Issue]) -> list[Issue]:
-    """Return the issues that prevent the use of the document."""
+    """Return the issues that prevent the document from being used."""
     return [issue for issue in issues if issue.severity is Severity.ERROR]
 
 
 def warnings(issues: list[Issue]) -> list[Issue]:
-    """Return the issues that do not prevent the use of the document."""
+    """Return the issues that do not prevent the document from being used."""
     return [issue for issue in issues if issue.severity is Severity.WARNING]
--- a/bergamotcourse/state/job_spec.py
+++ b/bergamotcourse/state/job_spec.py
@@ -1,4 +1,4 @@
-"""Jobs whose tasks need resources: what a caller hands in, and the queue it joins."""
+"""Jobs whose tasks need resources, as callers submit them, and the queues of jobs."""
 
 from typing import NewType
 
@@ -8,28 +8,28 @@
 from bergamotcourse.state.resources import Resources
 
 JobId = NewType("JobId", str)
-"""Chosen by the caller; the same id names the same job."""
+"""Chosen by the caller; a resubmission with the same id refers to the same job."""
 
 TaskName = NewType("TaskName", str)
-"""Names one task of a job to the upstreams, unique over all jobs."""
+"""Identifies a task to the upstreams; unique across all jobs."""
 
 
-def job_of(task: TaskName) -> JobId:
-    """Return the job of a task: the task's name begins with it."""
+def job_id_of_task(task: TaskName) -> JobId:
+    """Return the id of a task's job: the part of the name before the first dot."""
     return JobId(task.partition(".")[0])
 
 
 class StepSpec(msgspec.Struct, frozen=True):
-    """Tasks of a job that are alike.
+    """A group of identical tasks in a job.
 
     Attributes:
         count: Number of tasks.
         needs: Resources of each task.
-        estimate: Seconds that a task takes, as declared by the caller.
-        after: Indices of steps all of whose tasks must be done before.
-        label: A label that the upstream must have; empty for any.
-        data_rack: The label of the rack that has its data; empty where it has none.
-            In any other rack a task takes a multiple of its time.
+        estimate: Duration of a task in seconds, as declared by the caller.
+        after: Indices of the steps whose tasks must all complete first.
+        label: Label that the upstream must have; empty if any upstream will do.
+        data_rack: Label of the rack that holds the tasks' data; empty if there is none.
+            In any other rack a task takes a multiple of its estimate.
     """
 
     count: int
@@ -41,12 +41,13 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True):
-    """What a caller hands in.
+    """A job as a caller submits it.
 
     Attributes:
-        payload: Handed to each task unchanged.
-        kept: The job must outlive this process: it is stored before it is accepted.
-        unsupported: Names of properties that this version cannot honour.
+        payload: Passed to each task unchanged.
+        kept: The job must survive a failure of this process, so it is stored before it
+            is accepted.
+        unsupported: Names of requested properties that this version does not support.
     """
 
     id: JobId
@@ -60,11 +61,13 @@
     """A queue of jobs, as the configuration describes it.
 
     Attributes:
-        service: The upstreams that run its tasks.
-        priority: 0 goes first.
-        max_attempts: Failed runs of one task after which its job has failed.
-        slack_factor: The response-time objective in multiples of the work.
-        target_latency: Seconds added to that objective.
+        host: Host name of the requests that submit jobs to the queue.
+        path_prefix: Prefix of the path of those requests.
+        service: Service whose upstreams run the tasks.
+        priority: Lower numbers run first; 0 is the highest priority.
+        max_attempts: Number of failed runs of a task after which its job fails.
+        slack_factor: Response-time objective as a multiple of the work.
+        target_latency: Seconds added to the response-time objective.
     """
 
     name: str
@@ -77,18 +80,22 @@
     target_latency: float = 0.0
 
     def objective(self, work: float) -> float:
-        """Return the response-time objective in seconds for a chain of work."""
+        """Return the response-time objective in seconds.
+
+        Args:
+            work: Duration in seconds of a chain of steps.
+        """
         return self.slack_factor * work + self.target_latency
 
 
 class QueueTable(msgspec.Struct, frozen=True):
-    """All queues of one version of the configuration."""
+    """All queues in a version of the configuration."""
 
     version: ConfigVersion
     queues: tuple[JobQueue, ...]
 
     def find(self, host: str, path: str) -> JobQueue | None:
-        """Return the queue with the longest prefix of a path on a host."""
+        """Return the host's queue with the longest prefix of the path, or ``None``."""
         best = None
         for queue in self.queues:
             if queue.host != host or not path.startswith(queue.path_prefix):
--- a/bergamotcourse/state/keys.py
+++ b/bergamotcourse/state/keys.py
@@ -1,8 +1,8 @@
-"""Idempotency keys, and how old a key can be shown to be.
+"""Kinds of idempotency keys, which differ in what they reveal of a key's age.
 
-Three kinds of keys: keys under a prefix that an entry handed out carry the range, its
-epoch and the owner's own time; UUIDv7 keys (RFC 9562) carry the wall-clock time at
-which they were made; of other keys nothing is known.
+There are three kinds. Keys under a prefix that an entry handed out carry the range, its
+epoch and a time on the range owner's clock. UUIDv7 keys (RFC 9562) carry the wall-clock
+time of their creation. All other keys are opaque.
 """
 
 import re
@@ -11,18 +11,20 @@
 
 from bergamotcourse.ids import Epoch, RangeId
 
-HANDED_OUT = re.compile(r"bc1-([0-9a-f]{1,16})-([0-9a-f]{1,8})-([0-9a-f]{1,12})-(.+)")
-LONGEST_KEY = 200
-UUID_VERSION = 7
+HANDED_OUT_PATTERN = re.compile(
+    r"bc1-([0-9a-f]{1,16})-([0-9a-f]{1,8})-([0-9a-f]{1,12})-(.+)"
+)
+MAX_KEY_LENGTH = 200
+TIMED_KEY_UUID_VERSION = 7
 
 
 @dataclass(frozen=True)
 class HandedOutKey:
-    """A key under a handed-out prefix.
+    """A key under a prefix that an entry handed out.
 
     Attributes:
-        made_ms: When the prefix was handed out, on the owner's clock, since it
-            became the owner.
+        made_ms: Time at which the prefix was handed out, in milliseconds on the owner's
+            clock since it became the owner.
     """
 
     range: RangeId
@@ -35,7 +37,7 @@
     """A UUIDv7 key.
 
     Attributes:
-        made_ms: Unix milliseconds on the caller's wall clock.
+        made_ms: Creation time in Unix milliseconds, on the caller's wall clock.
     """
 
     made_ms: int
@@ -43,15 +45,15 @@
 
 @dataclass(frozen=True)
 class OpaqueKey:
-    """A key that says nothing of its age."""
+    """A key that carries no time of creation."""
 
 
 KeyKind = HandedOutKey | TimedKey | OpaqueKey
 
 
 def key_kind(key: str) -> KeyKind:
-    """Return what a key says of itself."""
-    handed_out = HANDED_OUT.fullmatch(key)
+    """Classify a key and return the fields that it carries."""
+    handed_out = HANDED_OUT_PATTERN.fullmatch(key)
     if handed_out:
         range_id, epoch, made = (int(part, 16) for part in handed_out.groups()[:3])
         return HandedOutKey(RangeId(range_id), Epoch(epoch), made)
@@ -59,11 +61,11 @@
         parsed = uuid.UUID(key)
     except ValueError:
         return OpaqueKey()
-    if parsed.version != UUID_VERSION:
+    if parsed.version != TIMED_KEY_UUID_VERSION:
         return OpaqueKey()
     return TimedKey(parsed.int >> 80)
 
 
 def key_prefix(range_id: RangeId, epoch: Epoch, made_ms: int) -> str:
-    """Return a prefix for a caller to make keys under."""
+    """Return a prefix under which a caller may create keys."""
     return f"bc1-{range_id:x}-{epoch:x}-{made_ms:x}-"
--- a/bergamotcourse/state/lease_rows.py
+++ b/bergamotcourse/state/lease_rows.py
@@ -1,4 +1,4 @@
-"""The rows through which entries agree on who owns what."""
+"""Rows of the store that record leases, range owners, agents and journaled claims."""
 
 import msgspec
 
@@ -10,23 +10,25 @@
 JOURNAL_PREFIX = "journal/"
 
 HASHED_RANGES = 64
-"""Ranges of keys that callers make; ranges from here on are entries' own."""
+"""Number of ranges that keys are hashed to; higher ones are entries' home ranges."""
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """An entry's lease: as long as its row keeps changing, it lives.
+    """An entry's lease, which is live as long as its row keeps changing.
 
     Attributes:
-        successor: The only entry that may take over.
-        renewals: Rises with each renewal, so that each one changes the row.
-        clock_ms: The entry's clock at the renewal; its keys carry this clock.
-        fenced_by: The entry that took over, once one has.
-        released: The entry stopped as planned.
-        journaled_ms: Claims made up to then, on the entry's clock, are in its journal.
-        unix_ms: The entry's wall clock at ``clock_ms``.
-        config: The version of the configuration in force at the entry.
-        demand: Tasks a second that teams ask for at the entry, of those whose share of
-            a limit may not be enough.
+        successor: The only entry that may take over the lease.
+        renewals: Number of renewals; each one increments it and so changes the row.
+        clock_ms: The entry's clock at the renewal, in milliseconds. The keys that it
+            hands out carry times on this clock.
+        fenced_by: The entry that took over the lease; empty if none has.
+        released: The entry released the lease at a planned stop.
+        journaled_ms: Claims made up to this time, on the entry's clock, are in its
+            journal.
+        unix_ms: The entry's wall clock at ``clock_ms``, in Unix milliseconds.
+        config: Version of the configuration in force at the entry.
+        demand: Tasks per second that a team requests at the entry, for the teams whose
+            share of a limit may not suffice.
     """
 
     entry: str
@@ -47,10 +49,10 @@
     """The owner of a range.
 
     Attributes:
-        doubtful: Taken over, and the owner may not yet know, or not yet have
-            journaled, all that was started before.
-        former: The owner before, where the range was taken over.
-        strict: The former owner may yet live on promises.
+        doubtful: The range was taken over, and the owner may not yet know or have
+            journaled everything that was started before.
+        former: The previous owner, if the range was taken over.
+        strict: Promises may still extend the former owner's lease.
     """
 
     owner: str
@@ -61,12 +63,13 @@
 
 
 class AgentRow(msgspec.Struct, frozen=True):
-    """An agent that may have upstreams.
+    """An agent that may serve upstreams.
 
     Attributes:
-        left: It stopped as planned. The row stays for a while, since the agent's
-            start log is gone with it.
-        services: Those that its upstreams serve, as far as known at the write.
+        boot: Random number of the agent's process.
+        left: The agent stopped as planned. The row is kept for a while, because the
+            agent's start log is lost with its process.
+        services: Services of its upstreams, as known at the time of writing.
     """
 
     agent: str
@@ -80,10 +83,11 @@
 
 
 class JournalRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One claim as the journal keeps it.
+    """A claim as stored in the journal.
 
     Attributes:
-        claimed_ms: When it was made, on the clock of the journal's writer.
+        claimed_ms: Time of the claim in milliseconds, on the clock of the journal's
+            writer.
     """
 
     submission: bytes
@@ -113,7 +117,7 @@
 
 
 def range_of_key(key: str) -> int:
-    """Return the range of a range row's key."""
+    """Return the range id in the key of a range row."""
     return int(key.removeprefix(RANGE_PREFIX))
 
 
--- a/bergamotcourse/state/manifest_diff.py
+++ b/bergamotcourse/state/manifest_diff.py
@@ -1,4 +1,4 @@
-"""Changes between two manifests, which travel in place of full copies."""
+"""Deltas between manifests, which are sent in place of full copies."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -11,11 +11,11 @@
 from bergamotcourse.state.manifest import Manifest, canonical
 
 Item = dict[str, Any]
-"""One item of a section in plain data, by field."""
+"""An item of a section as builtin types, by field name."""
 
 
 class Section(Enum):
-    """A part of the manifest; those of one item only have the key ``""``."""
+    """A part of the manifest; the item of a single-item section has the key ``""``."""
 
     MANIFEST = "manifest"
     POLICY = "policy"
@@ -27,7 +27,7 @@
     OPERATORS = "operators"
 
 
-NAMED = (
+ITEM_SECTIONS = (
     Section.SERVICES,
     Section.JOB_CLASSES,
     Section.UPSTREAMS,
@@ -39,11 +39,12 @@
 
 @dataclass(frozen=True, order=True)
 class Path:
-    """Where a change is.
+    """Location of a change in the manifest.
 
     Attributes:
+        section: The section, which is a value of ``Section``.
         key: Name of the item in its section.
-        field: The field of the item, or ``""`` for the item as a whole.
+        field: Field of the item, or ``""`` for the whole item.
     """
 
     section: str
@@ -51,14 +52,14 @@
     field: str = ""
 
     def __str__(self) -> str:
-        """Return the path as in ``teams.barakaldo.weight``."""
+        """Return the path in dotted form, as in ``teams.barakaldo.weight``."""
         parts = [self.section, self.key, self.field]
         return ".".join(part for part in parts if part)
 
 
 @dataclass(frozen=True)
 class Added:
-    """An item that is new."""
+    """An item that was added."""
 
     path: Path
     new: Item
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Removed:
-    """An item that is gone."""
+    """An item that was removed."""
 
     path: Path
     old: Item
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True)
 class Changed:
-    """A field that has another value."""
+    """A field whose value changed."""
 
     path: Path
     old: Any
@@ -86,20 +87,20 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """All changes from one manifest to another."""
+    """The delta from one manifest to another."""
 
     added: list[Added] = field(default_factory=list)
     removed: list[Removed] = field(default_factory=list)
     changed: list[Changed] = field(default_factory=list)
 
-    def all(self) -> list[Change]:
-        """Return the changes ordered by path."""
+    def sorted_by_path(self) -> list[Change]:
+        """Return all changes, sorted by path."""
         changes = [*self.added, *self.removed, *self.changed]
         return sorted(changes, key=lambda change: change.path)
 
 
 def diff_manifests(old: Manifest, new: Manifest) -> Changes:
-    """Return the changes that turn one manifest into another."""
+    """Return the delta that turns one manifest into another."""
     before, after = split_items(old), split_items(new)
     changes = Changes()
     for path in sorted(before.keys() | after.keys()):
@@ -115,12 +116,12 @@
 def apply_changes(manifest: Manifest, changes: Changes) -> Result[Manifest, StepError]:
     """Return the manifest after the changes.
 
-    An error says that the manifest is not the one that the changes start from.
+    It is an error if the changes were made for a different manifest.
     """
     items = split_items(manifest)
-    for change in changes.all():
+    for change in changes.sorted_by_path():
         if not _apply(items, change):
-            detail = f"the change of {change.path} is made for another manifest"
+            detail = f"the change of {change.path} applies to a different manifest"
             return Error(StepError(Step.DECODE, "", detail))
     try:
         return Ok(join_items(items))
@@ -129,7 +130,7 @@
 
 
 def invert_changes(changes: Changes) -> Changes:
-    """Return the changes that lead back."""
+    """Return the changes that revert these."""
     return Changes(
         added=[Added(one.path, one.old) for one in changes.removed],
         removed=[Removed(one.path, one.new) for one in changes.added],
@@ -138,28 +139,28 @@
 
 
 def describe_change(change: Change) -> str:
-    """Return one change in words; credentials are shortened."""
+    """Return a change as a line of text; credentials are shortened."""
     match change:
         case Added(path, new):
-            return f"+ {path}: {_words(new)}"
+            return f"+ {path}: {_describe_item(new)}"
         case Removed(path):
             return f"- {path}"
         case Changed(path, old, new) if path.field in SECRET_FIELDS:
-            return f"~ {path}: {_short(old)} -> {_short(new)}"
+            return f"~ {path}: {_abbreviate(old)} -> {_abbreviate(new)}"
         case Changed(path, old, new):
-            return f"~ {path}: {_plain(old)} -> {_plain(new)}"
+            return f"~ {path}: {_as_json(old)} -> {_as_json(new)}"
 
 
 def describe_changes(changes: Changes) -> list[str]:
-    """Return all changes in words, one a line."""
-    return [describe_change(change) for change in changes.all()]
+    """Return all changes as lines of text, sorted by path."""
+    return [describe_change(change) for change in changes.sorted_by_path()]
 
 
 def split_items(manifest: Manifest) -> dict[Path, Item]:
-    """Return the items of a manifest in plain data."""
+    """Return the items of a manifest as builtin types, by path."""
     data = msgspec.to_builtins(canonical(manifest))
     items = {}
-    for section in NAMED:
+    for section in ITEM_SECTIONS:
         for item in data.pop(section.value):
             items[Path(section.value, item["name"])] = item
     policy = data.pop(Section.POLICY.value)
@@ -172,16 +173,16 @@
 
 
 def join_items(items: dict[Path, Item]) -> Manifest:
-    """Return the manifest of its items.
+    """Return the manifest that consists of the items.
 
     Raises:
-        msgspec.MsgspecError: The items are not those of a manifest.
-        KeyError: A section of one item is missing.
+        msgspec.MsgspecError: The items do not form a valid manifest.
+        KeyError: A single-item section is missing.
     """
     sections: dict[str, list[Item]] = {section.value: [] for section in Section}
     for path, item in items.items():
         sections[path.section].append(item)
-    named = {section.value: sections[section.value] for section in NAMED}
+    named = {section.value: sections[section.value] for section in ITEM_SECTIONS}
     policy = {
         **items[Path(Section.POLICY.value)],
         "drains": sections[Section.DRAINS.value],
@@ -199,7 +200,7 @@
 
 
 def _apply(items: dict[Path, Item], change: Change) -> bool:
-    """Make one change; return false where the item is not as it should be."""
+    """Apply a change in place; return false if the item is not as expected."""
     match change:
         case Added(path, new):
             fits = path not in items
@@ -214,18 +215,18 @@
     return fits
 
 
-def _words(item: Item) -> str:
+def _describe_item(item: Item) -> str:
     parts = [
-        f"{name} {_short(value) if name in SECRET_FIELDS else _plain(value)}"
+        f"{name} {_abbreviate(value) if name in SECRET_FIELDS else _as_json(value)}"
         for name, value in item.items()
         if name != "name"
     ]
     return ", ".join(parts)
 
 
-def _plain(value: Any) -> str:
+def _as_json(value: Any) -> str:
     return msgspec.json.encode(value).decode()
 
 
-def _short(digests: list[str]) -> str:
+def _abbreviate(digests: list[str]) -> str:
     return "[" + ", ".join(f"{digest[:8]}..." for digest in digests) + "]"
--- a/bergamotcourse/state/masking.py
+++ b/bergamotcourse/state/masking.py
@@ -1,4 +1,4 @@
-"""Configuration without its credentials, for those who may read but not log in."""
+"""Masking of credentials in configuration, for readers who must not obtain them."""
 
 from dataclasses import replace
 from typing import Any
@@ -13,17 +13,17 @@
     Removed,
 )
 
-SHOWN_DIGITS = 8
-"""Digits of a credential's digest that tell it from others, and no more."""
+VISIBLE_DIGEST_DIGITS = 8
+"""Enough digits to distinguish credentials, too few to reveal their digests."""
 
 
-def mask(digest: str) -> str:
-    """Return the start of a credential's digest; it is no credential."""
-    return f"{digest[:SHOWN_DIGITS]}..."
+def mask_credential(digest: str) -> str:
+    """Return the first digits of a credential's digest, which does not authenticate."""
+    return f"{digest[:VISIBLE_DIGEST_DIGITS]}..."
 
 
 def mask_manifest(manifest: Manifest) -> Manifest:
-    """Return a manifest whose credentials are masked."""
+    """Return the manifest with its credentials masked."""
     return replace(
         manifest,
         teams=[_mask_owner(team) for team in manifest.teams],
@@ -32,7 +32,7 @@
 
 
 def mask_changes(changes: Changes) -> Changes:
-    """Return changes whose credentials are masked."""
+    """Return the changes with their credentials masked."""
     return Changes(
         added=[Added(one.path, _mask_item(one.new)) for one in changes.added],
         removed=[Removed(one.path, _mask_item(one.old)) for one in changes.removed],
@@ -41,12 +41,14 @@
 
 
 def _mask_owner(owner: Any) -> Any:
-    return replace(owner, credentials=[mask(one) for one in owner.credentials])
+    return replace(
+        owner, credentials=[mask_credential(one) for one in owner.credentials]
+    )
 
 
 def _mask_item(item: Item) -> Item:
     return {
-        key: [mask(one) for one in value] if key in SECRET_FIELDS else value
+        key: [mask_credential(one) for one in value] if key in SECRET_FIELDS else value
         for key, value in item.items()
     }
 
@@ -54,5 +56,5 @@
 def _mask_change(change: Changed) -> Changed:
     if change.path.field not in SECRET_FIELDS:
         return change
-    old = [mask(one) for one in change.old]
-    return Changed(change.path, old, [mask(one) for one in change.new])
+    old = [mask_credential(one) for one in change.old]
+    return Changed(change.path, old, [mask_credential(one) for one in change.new])
--- a/bergamotcourse/state/node_settings.py
+++ b/bergamotcourse/state/node_settings.py
@@ -1,41 +1,45 @@
-"""What a process is told of its place: addresses, zone, and where the others may be."""
+"""Settings that the platform gives a process: addresses, zone and peers."""
 
 from dataclasses import dataclass
 
 from bergamotcourse.ids import ServiceName, ZoneName
 
 REMOTE_FACTOR = 1.5
-"""Of a platform that does not say. It decides between waiting for room near the data
-and going elsewhere; a task goes near its data in any case where that has room."""
+"""Default for a platform that does not specify it. It decides whether a task waits for
+capacity near its data or runs elsewhere; where there is capacity near the data, the
+task runs there in any case."""
 
 
 @dataclass(frozen=True)
 class Endpoint:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return it as ``IP:PORT``."""
+        """Return the endpoint as ``IP:PORT``."""
         return f"{self.host}:{self.port}"
 
 
 @dataclass(frozen=True)
 class NodeSettings:
-    """The place of one process.
+    """Settings of one process.
 
     Attributes:
-        name: Of the instance it runs on.
-        link: Where it receives the messages of other processes.
-        callers: Where an entry takes callers' requests; ``None`` at an agent.
-        readiness: Where an entry tells whether it wants callers.
-        reports: Where an agent takes its upstream's reports.
-        seeds: Links of entries that may be up.
-        store: The platform's store.
-        service: Of the upstream beside an agent; empty at an entry.
-        stop_seconds: From the signal to stop until the process is killed.
-        remote_factor: Times as long as near its data that a task takes elsewhere.
+        name: Name of the instance that the process runs on.
+        zone: Availability zone of the instance.
+        link: Address on which it receives messages from other processes.
+        callers: Address on which an entry receives callers' requests; ``None`` at an
+            agent.
+        readiness: Address on which an entry reports whether it accepts callers.
+        reports: Address on which an agent receives its upstream's reports.
+        seeds: Link addresses of entries that may be running.
+        store: Address of the platform's store.
+        service: Service of the upstream beside an agent; empty at an entry.
+        stop_seconds: Seconds from the stop signal until the process is killed.
+        remote_factor: Duration of a task away from its data, as a multiple of its
+            duration near the data.
     """
 
     name: str
--- a/bergamotcourse/state/reference.py
+++ b/bergamotcourse/state/reference.py
@@ -1,4 +1,4 @@
-"""What is made from the schemas: the reference page and the JSON Schema."""
+"""Documents generated from the schemas: the reference page and the JSON Schema."""
 
 import dataclasses
 import types
@@ -13,10 +13,10 @@
 from bergamotcourse.state.schema import Format, Rule, rules
 from bergamotcourse.state.settings import AgentSettings, EntrySettings
 from bergamotcourse.state.validation import METHOD, NAME, NAME_PATTERN, SHA256
-from bergamotcourse.state.wording import join, range_words
+from bergamotcourse.state.validation_messages import describe_range, join_path
 
-HEAD = "| Key | Type | Default | Meaning |\n| --- | --- | --- | --- |\n"
-TYPE_WORDS = {int: "whole number", float: "number", str: "text", bool: "true or false"}
+TABLE_HEADER = "| Key | Type | Default | Meaning |\n| --- | --- | --- | --- |\n"
+TYPE_NAMES = {int: "whole number", float: "number", str: "text", bool: "true or false"}
 
 PATTERNS = {
     Format.NAME: NAME,
@@ -31,15 +31,15 @@
     sections = [
         "# Settings\n\nMade from the schema in `bergamotcourse/state/settings.py`;"
         " a test keeps this page equal to it.\n",
-        "## Entry\n\n" + table(EntrySettings),
-        "## Agent\n\n" + table(AgentSettings),
+        "## Entry\n\n" + schema_table(EntrySettings),
+        "## Agent\n\n" + schema_table(AgentSettings),
     ]
     return "\n".join(sections)
 
 
-def table(schema: type) -> str:
-    """Return the table of a schema's keys, in Markdown."""
-    return HEAD + "".join(row + "\n" for row in _rows(schema, ""))
+def schema_table(schema: type) -> str:
+    """Return a table of a schema's keys, in Markdown."""
+    return TABLE_HEADER + "".join(row + "\n" for row in _rows(schema, ""))
 
 
 def _rows(schema: type, prefix: str) -> list[str]:
@@ -47,7 +47,7 @@
     schema_rules = rules(schema)
     rows = []
     for item in dataclasses.fields(schema):
-        path = join(prefix, item.name)
+        path = join_path(prefix, item.name)
         rows.append(_row(path, hints[item.name], item, schema_rules[item.name]))
         nested = _nested(hints[item.name])
         if nested:
@@ -58,8 +58,8 @@
 
 def _row(path: str, kind: Any, item: Field, rule: Rule) -> str:
     unit = f" {rule.unit}" if rule.unit else ""
-    words = type_words(kind) + range_words(rule) + unit
-    return f"| `{path}` | {words} | {default_words(item)} | {rule.help} |"
+    words = describe_type(kind) + describe_range(rule) + unit
+    return f"| `{path}` | {words} | {describe_default(item)} | {rule.help} |"
 
 
 def _nested(kind: Any) -> type | None:
@@ -69,23 +69,23 @@
     return None
 
 
-def type_words(kind: Any) -> str:
-    """Return a type in words."""
+def describe_type(kind: Any) -> str:
+    """Return the description of a type."""
     kind = getattr(kind, "__supertype__", kind)
     origin, args = typing.get_origin(kind), typing.get_args(kind)
     if origin in (typing.Union, types.UnionType):
-        return type_words(args[0])
+        return describe_type(args[0])
     if origin is list:
-        return f"list of {type_words(args[0])}"
+        return f"list of {describe_type(args[0])}"
     if dataclasses.is_dataclass(kind):
         return "mapping"
     if issubclass(kind, Enum):
         return " or ".join(f"`{member.value}`" for member in kind)
-    return TYPE_WORDS[kind]
+    return TYPE_NAMES[kind]
 
 
-def default_words(item: Field) -> str:
-    """Return the default of a field in words."""
+def describe_default(item: Field) -> str:
+    """Return the description of a field's default."""
     if item.default is MISSING and item.default_factory is MISSING:
         return "required"
     default = item.default if item.default is not MISSING else item.default_factory()
@@ -97,7 +97,7 @@
 
 
 def manifest_schema() -> dict[str, Any]:
-    """Return the JSON Schema of the manifest, for the pipeline that makes it."""
+    """Return the JSON Schema of the manifest, for the pipeline that generates it."""
     document = msgspec.json.schema(Manifest)
     schemas = _dataclasses(Manifest)
     for name, definition in document["$defs"].items():
@@ -119,7 +119,7 @@
 
 
 def _add_rule(definition: dict[str, Any], rule: Rule) -> None:
-    """Add a rule to a property; that of a list holds for its items."""
+    """Add a rule to a property; the rule of a list applies to its items."""
     definition["description"] = rule.help
     target = definition.get("items", definition)
     limits = {
@@ -129,6 +129,6 @@
     }
     target.update({key: limit for key, limit in limits.items() if limit is not None})
     if rule.format in PATTERNS:
-        # The empty text, where allowed, comes before the pattern.
+        # A field that may be empty accepts the empty string in addition to the pattern.
         pattern = PATTERNS[rule.format].pattern
         target["pattern"] = f"^({pattern}){'?' if rule.may_be_empty else ''}$"
--- a/bergamotcourse/state/resources.py
+++ b/bergamotcourse/state/resources.py
@@ -1,4 +1,4 @@
-"""What a task needs of an upstream, and what an upstream has."""
+"""Amounts of resources, as needed by tasks and provided by upstreams."""
 
 import msgspec
 
@@ -7,9 +7,9 @@
     """An amount of each kind of resource.
 
     Attributes:
-        cpu: In thousandths of a core.
-        memory: In MB.
-        accelerators: Whole devices.
+        cpu: CPU time in thousandths of a core.
+        memory: Memory in MB.
+        accelerators: Number of whole devices.
     """
 
     cpu: int = 0
@@ -33,20 +33,20 @@
         )
 
     def __or__(self, other: "Resources") -> "Resources":
-        """Return the larger amount of each kind."""
+        """Return the maximum of each kind."""
         return Resources(
             max(self.cpu, other.cpu),
             max(self.memory, other.memory),
             max(self.accelerators, other.accelerators),
         )
 
-    def fits(self, room: "Resources") -> bool:
-        """Return whether this amount is no more than ``room``."""
+    def fits(self, capacity: "Resources") -> bool:
+        """Return whether this amount is within ``capacity``."""
         return (
-            self.cpu <= room.cpu
-            and self.memory <= room.memory
-            and self.accelerators <= room.accelerators
+            self.cpu <= capacity.cpu
+            and self.memory <= capacity.memory
+            and self.accelerators <= capacity.accelerators
         )
 
 
-NOTHING = Resources()
+NO_RESOURCES = Resources()
--- a/bergamotcourse/state/result_store.py
+++ b/bergamotcourse/state/result_store.py
@@ -1,46 +1,47 @@
-"""Results that an agent keeps for a while, bounded in bytes.
+"""Store of recent results at an agent, bounded in bytes.
 
-An entry that lost a result, or the successor of a dead entry, asks for it again.
+An entry that lost a result, or the successor of a failed entry, requests it again.
 """
 
 from collections import OrderedDict
 from typing import Protocol
 
 
-class Kept(Protocol):
-    """What is kept: anything with a body."""
+class StoredResult(Protocol):
+    """A result, of which only the body is used here."""
 
     body: bytes
 
 
-FIXED_BYTES = 400
-"""Counted for each result beside its body."""
+RESULT_OVERHEAD_BYTES = 400
+"""Counted for each result in addition to its body."""
 
 
 class ResultStore:
-    """Keeps the newest results up to a number of bytes.
+    """Keeps the newest results up to a total size.
 
     Attributes:
-        limit: The most bytes kept.
-        size: The bytes kept now.
+        limit: Maximum size of the stored results, in bytes.
+        size: Current size of the stored results, in bytes.
+        results: The results by submission id and task index, oldest first.
     """
 
     def __init__(self, limit: int):
         self.limit = limit
         self.size = 0
-        self.results: OrderedDict[tuple[bytes, int], Kept] = OrderedDict()
+        self.results: OrderedDict[tuple[bytes, int], StoredResult] = OrderedDict()
 
-    def add(self, submission: bytes, index: int, result: Kept) -> None:
-        """Keep a result, dropping the oldest beyond the limit."""
+    def add(self, submission: bytes, index: int, result: StoredResult) -> None:
+        """Store a result and evict the oldest results beyond the limit."""
         replaced = self.results.pop((submission, index), None)
         if replaced is not None:
-            self.size -= FIXED_BYTES + len(replaced.body)
+            self.size -= RESULT_OVERHEAD_BYTES + len(replaced.body)
         self.results[(submission, index)] = result
-        self.size += FIXED_BYTES + len(result.body)
+        self.size += RESULT_OVERHEAD_BYTES + len(result.body)
         while self.size > self.limit and self.results:
             _, oldest = self.results.popitem(last=False)
-            self.size -= FIXED_BYTES + len(oldest.body)
+            self.size -= RESULT_OVERHEAD_BYTES + len(oldest.body)
 
-    def get(self, submission: bytes, index: int) -> Kept | None:
-        """Return a kept result, if it is still there."""
+    def get(self, submission: bytes, index: int) -> StoredResult | None:
+        """Return a stored result, or ``None`` if it is not stored."""
         return self.results.get((submission, index))
--- a/bergamotcourse/state/schema.py
+++ b/bergamotcourse/state/schema.py
@@ -1,7 +1,7 @@
-"""Descriptions of fields: how a dataclass says what its values must be.
+"""Schema fields: dataclass fields that carry constraints on their values.
 
-A field made by ``described`` carries a ``Rule``, which the validation checks, the
-reference page prints and the error messages quote.
+A field created by ``schema_field`` carries a ``Rule``, which is checked by the
+validation, printed on the reference page and quoted in error messages.
 """
 
 from dataclasses import MISSING, dataclass, field, fields
@@ -10,12 +10,12 @@
 
 KIB = 1024
 MIB = 1024 * KIB
-RULE_KEY = "rule"
-"""The key of a field's metadata under which its rule stands."""
+RULE_METADATA_KEY = "rule"
+"""Key of the rule in a field's metadata."""
 
 
 class Format(Enum):
-    """The form that a text must have."""
+    """The required format of a text."""
 
     TEXT = "text"
     NAME = "name"
@@ -27,22 +27,22 @@
 
 @dataclass(frozen=True)
 class Rule:
-    """What a field's value must be, beyond its type.
+    """Constraints on a field's value, in addition to its type.
 
     Attributes:
-        help: One line for the reference page.
-        wanted: What to give, with its article, as in ``a port``.
-        low: Least number allowed.
-        high: Greatest number allowed.
-        above: A number that the value must exceed.
+        help: One-line description for the reference page.
+        expected: The expected kind of value with its article, as in ``a port``.
+        low: Minimum of a number, inclusive.
+        high: Maximum of a number, inclusive.
+        above: Minimum of a number, exclusive.
         unit: Unit of a number.
-        format: Form of a text.
+        format: Required format of a text.
         secret: The value is never shown in messages.
         may_be_empty: An empty text is accepted.
     """
 
     help: str = ""
-    wanted: str = ""
+    expected: str = ""
     low: float | None = None
     high: float | None = None
     above: float | None = None
@@ -52,18 +52,18 @@
     may_be_empty: bool = True
 
 
-def described(
+def schema_field(
     help_text: str, default: Any = MISSING, factory: Any = MISSING, **rule: Any
 ) -> Any:
     """Return a dataclass field that carries a rule.
 
     Args:
-        help_text: One line for the reference page.
-        default: The default value, if the field has one.
-        factory: Makes the default value, if it is mutable.
+        help_text: One-line description for the reference page.
+        default: Default value, if the field has one.
+        factory: Function that returns the default value, if that is mutable.
         **rule: Further attributes of ``Rule``.
     """
-    metadata = {RULE_KEY: Rule(help=help_text, **rule)}
+    metadata = {RULE_METADATA_KEY: Rule(help=help_text, **rule)}
     return field(default=default, default_factory=factory, metadata=metadata)
 
 
@@ -71,35 +71,38 @@
     help_text: str, default: float, low: float = 0.05, high: float = 86400
 ) -> Any:
     """Return a field for a time in seconds."""
-    return described(
-        help_text, default, wanted="a time", low=low, high=high, unit="seconds"
+    return schema_field(
+        help_text, default, expected="a time", low=low, high=high, unit="seconds"
     )
 
 
 def count_field(help_text: str, default: int, low: int = 1, high: int = 10**9) -> Any:
     """Return a field for a count."""
-    return described(help_text, default, wanted="a count", low=low, high=high)
+    return schema_field(help_text, default, expected="a count", low=low, high=high)
 
 
 def size_field(
     help_text: str, default: int, low: int = KIB, high: int = 1024 * MIB
 ) -> Any:
     """Return a field for a size in bytes."""
-    return described(
-        help_text, default, wanted="a size", low=low, high=high, unit="bytes"
+    return schema_field(
+        help_text, default, expected="a size", low=low, high=high, unit="bytes"
     )
 
 
 def name_field(help_text: str, default: str | None = None) -> Any:
-    """Return a field for a name; without a default it is required."""
+    """Return a field for a name, which is required if there is no default."""
     if default is not None:
-        return described(help_text, default, format=Format.NAME)
-    return described(help_text, format=Format.NAME, may_be_empty=False)
+        return schema_field(help_text, default, format=Format.NAME)
+    return schema_field(help_text, format=Format.NAME, may_be_empty=False)
 
 
 def rules(schema: type) -> dict[str, Rule]:
     """Return the rule of each field of a dataclass."""
-    return {item.name: item.metadata.get(RULE_KEY, Rule()) for item in fields(schema)}
+    return {
+        item.name: item.metadata.get(RULE_METADATA_KEY, Rule())
+        for item in fields(schema)
+    }
 
 
 def required(schema: type) -> list[str]:
--- a/bergamotcourse/state/settings.py
+++ b/bergamotcourse/state/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process, read once at its start from YAML."""
+"""Settings of a process, read from a YAML file at its start."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -14,72 +14,86 @@
     MIB,
     Format,
     count_field,
-    described,
     name_field,
+    schema_field,
     seconds_field,
     size_field,
 )
 from bergamotcourse.state.validation import Validator
 from bergamotcourse.state.yaml_text import parse_yaml, read_text
 
-HIGHEST_PORT = 65535
-ANY_ADDRESSES = ("0.0.0.0", "::")
-HEARTBEATS_IN_A_LEASE = 3
-"""Fewer heartbeats than this in a lease, and one that is lost can end it."""
+MAX_PORT = 65535
+WILDCARD_ADDRESSES = ("0.0.0.0", "::")
+MIN_HEARTBEATS_PER_LEASE = 3
+"""With fewer heartbeats per lease, the loss of a single one can let it expire."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Listen:
-    """An IP number and a port, to listen on or to connect to."""
+class SocketAddress:
+    """An IP address and a port, to listen on or to connect to."""
 
-    host: str = described("literal IP number", format=Format.IP, may_be_empty=False)
-    port: int = described("TCP or UDP port", wanted="a port", low=0, high=HIGHEST_PORT)
+    host: str = schema_field("literal IP number", format=Format.IP, may_be_empty=False)
+    port: int = schema_field("TCP or UDP port", expected="a port", low=0, high=MAX_PORT)
 
 
 @dataclass(frozen=True, kw_only=True)
 class HttpLimits:
     """Limits of one HTTP listener."""
 
-    header_bytes: int = size_field("greatest head of a request", 16 * KIB)
-    body_bytes: int = size_field("greatest body of a request", MIB, high=64 * MIB)
-    header_seconds: float = seconds_field("longest time for a head to arrive", 10.0)
-    body_seconds: float = seconds_field("longest time for a body to arrive", 30.0)
-    idle_seconds: float = seconds_field("longest pause between requests", 75.0)
-    write_seconds: float = seconds_field("longest time for a caller to read", 30.0)
-    connections: int = count_field("connections at a time", 1000)
+    header_bytes: int = size_field(
+        "maximum size of a request's header section", 16 * KIB
+    )
+    body_bytes: int = size_field("maximum size of a request body", MIB, high=64 * MIB)
+    header_seconds: float = seconds_field(
+        "maximum time to receive the header section", 10.0
+    )
+    body_seconds: float = seconds_field("maximum time to receive a request body", 30.0)
+    idle_seconds: float = seconds_field("maximum idle time between requests", 75.0)
+    write_seconds: float = seconds_field("maximum time for a caller to read", 30.0)
+    connections: int = count_field("maximum number of open connections", 1000)
 
 
 @dataclass(frozen=True, kw_only=True)
 class EntrySettings:
     """Settings of an entry process."""
 
-    name: str = name_field("name of the process, unique among all")
+    name: str = name_field("name of the process; must be unique")
     zone: ZoneName = name_field("availability zone")
     region: RegionName = name_field("region")
     rack: RackName = name_field("rack, if known", default="")
-    http: Listen = described("where callers connect")
-    link: Listen = described("where other processes of the system connect")
-    admin: Listen | None = described("where operators connect", None)
-    platform: Listen = described("the platform's table and object store")
-    http_limits: HttpLimits = described("limits towards callers", factory=HttpLimits)
-    lease_seconds: float = seconds_field("length of a range's lease", 5.0)
+    http: SocketAddress = schema_field("address for callers")
+    link: SocketAddress = schema_field("address for other processes of the system")
+    admin: SocketAddress | None = schema_field("address for operators", None)
+    platform: SocketAddress = schema_field(
+        "address of the platform's table and object store"
+    )
+    http_limits: HttpLimits = schema_field(
+        "limits on callers' requests", factory=HttpLimits
+    )
+    lease_seconds: float = seconds_field("duration of a range's lease", 5.0)
     token_seconds: float = seconds_field(
         "how long an agent's token permits starts", 5.0
     )
-    heartbeat_seconds: float = seconds_field("period of lease renewals", 1.0)
-    drain_seconds: float = seconds_field("longest wait for requests upon a stop", 30.0)
-    neighbours: int = count_field("agents that the process stays connected to", 32)
-    queue_tasks: int = count_field("tasks that may wait here", 20000)
-    answer_bytes: int = size_field("greatest answer of a job", 64 * MIB)
+    heartbeat_seconds: float = seconds_field("interval between lease renewals", 1.0)
+    drain_seconds: float = seconds_field("maximum wait for requests at shutdown", 30.0)
+    neighbours: int = count_field(
+        "number of agents that the process stays connected to", 32
+    )
+    queue_tasks: int = count_field(
+        "maximum number of tasks that wait at the entry", 20000
+    )
+    answer_bytes: int = size_field("maximum size of a job's answer", 64 * MIB)
     retention_seconds: float = seconds_field(
-        "how long a submission is remembered", 600.0
+        "how long the record of a submission is kept", 600.0
     )
-    statsd: Listen | None = described("where metrics go", None)
-    log: str = described("path of the log, or - for stderr", "-", may_be_empty=False)
-    log_sample: float = described(
+    statsd: SocketAddress | None = schema_field(
+        "address that metrics are sent to", None
+    )
+    log: str = schema_field("path of the log, or - for stderr", "-", may_be_empty=False)
+    log_sample: float = schema_field(
         "share of requests whose steps are logged",
         0.001,
-        wanted="a share",
+        expected="a share",
         low=0,
         high=1,
     )
@@ -89,76 +103,94 @@
 class AgentSettings:
     """Settings of an agent process, which runs beside an upstream."""
 
-    name: str = name_field("name of the process, unique among all")
+    name: str = name_field("name of the process; must be unique")
     zone: ZoneName = name_field("availability zone")
     region: RegionName = name_field("region")
     rack: RackName = name_field("rack, if known", default="")
     worker: WorkerName = name_field("worker that the process runs on")
-    link: Listen = described("where other processes of the system connect")
-    http: Listen = described("where upstreams announce themselves; health")
-    platform: Listen = described("the platform's table and object store")
+    link: SocketAddress = schema_field("address for other processes of the system")
+    http: SocketAddress = schema_field(
+        "address for upstreams' announcements and health checks"
+    )
+    platform: SocketAddress = schema_field(
+        "address of the platform's table and object store"
+    )
     lease_seconds: float = seconds_field(
-        "how long an upstream's announcement holds", 5.0
+        "how long an upstream's announcement is valid", 5.0
     )
     token_seconds: float = seconds_field("how long an issued token permits starts", 5.0)
-    heartbeat_seconds: float = seconds_field("period of announcements", 1.0)
-    drain_seconds: float = seconds_field("longest wait for tasks upon a stop", 30.0)
-    start_log_seconds: float = seconds_field("how long a start is remembered", 600.0)
-    result_bytes: int = size_field("greatest result of a task", 16 * MIB)
-    queue_tasks: int = count_field("tasks that may wait here for a slot", 16, low=0)
-    statsd: Listen | None = described("where metrics go", None)
-    log: str = described("path of the log, or - for stderr", "-", may_be_empty=False)
+    heartbeat_seconds: float = seconds_field("interval between announcements", 1.0)
+    drain_seconds: float = seconds_field("maximum wait for tasks at shutdown", 30.0)
+    start_log_seconds: float = seconds_field(
+        "how long the record of a start is kept", 600.0
+    )
+    result_bytes: int = size_field("maximum size of a task's result", 16 * MIB)
+    queue_tasks: int = count_field(
+        "maximum number of tasks that wait at the agent for a slot", 16, low=0
+    )
+    statsd: SocketAddress | None = schema_field(
+        "address that metrics are sent to", None
+    )
+    log: str = schema_field("path of the log, or - for stderr", "-", may_be_empty=False)
 
 
-class Kind(Enum):
+class ProcessKind(Enum):
     """The kind of process that settings are for."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
-SCHEMAS = {Kind.ENTRY: EntrySettings, Kind.AGENT: AgentSettings}
+SCHEMAS = {ProcessKind.ENTRY: EntrySettings, ProcessKind.AGENT: AgentSettings}
 
 Settings = TypeVar("Settings", EntrySettings, AgentSettings)
 
 
 @dataclass(frozen=True)
-class Loaded(Generic[Settings]):
-    """Settings without errors, and the warnings on them."""
+class LoadedSettings(Generic[Settings]):
+    """Settings without errors, with their warnings."""
 
     settings: Settings
     warnings: list[Issue]
 
 
-def load_settings(path: str | Path, kind: Kind) -> Result[Loaded, list[Issue]]:
-    """Return the settings of a file, or all errors and warnings on it."""
+def load_settings(
+    path: str | Path, kind: ProcessKind
+) -> Result[LoadedSettings, list[Issue]]:
+    """Return the settings in a file, or all its errors and warnings."""
     return read_text(str(path)).bind(
         lambda text: parse_settings(text, Path(path).name, kind)
     )
 
 
-def parse_settings(text: str, file: str, kind: Kind) -> Result[Loaded, list[Issue]]:
-    """Return the settings of a YAML text, or all errors and warnings on it.
+def parse_settings(
+    text: str, file: str, kind: ProcessKind
+) -> Result[LoadedSettings, list[Issue]]:
+    """Return the settings in a YAML text, or all its errors and warnings.
 
     Args:
         text: The YAML text.
-        file: Name of the text in the issues.
+        file: Name of the document in the issues.
         kind: The kind of process that the settings are for.
     """
     return parse_yaml(text, file).bind(lambda data: _convert(data, file, kind))
 
 
-def _convert(document: object, file: str, kind: Kind) -> Result[Loaded, list[Issue]]:
+def _convert(
+    document: object, file: str, kind: ProcessKind
+) -> Result[LoadedSettings, list[Issue]]:
     validator = Validator(file)
     settings = validator.convert(document, SCHEMAS[kind])
-    check_across(settings, validator)
+    check_cross_field_rules(settings, validator)
     if errors(validator.issues):
         return Error(validator.issues)
-    return Ok(Loaded(settings, warnings(validator.issues)))
+    return Ok(LoadedSettings(settings, warnings(validator.issues)))
 
 
-def check_across(settings: EntrySettings | AgentSettings, validator: Validator) -> None:
-    """Report faults that only several fields together show."""
+def check_cross_field_rules(
+    settings: EntrySettings | AgentSettings, validator: Validator
+) -> None:
+    """Report the issues that involve more than one field."""
     _check_lease(settings, validator)
     _check_addresses(settings, validator)
     match settings:
@@ -178,26 +210,28 @@
                 )
 
 
-def _check_lease(settings: EntrySettings | AgentSettings, to: Validator) -> None:
-    beat, lease = settings.heartbeat_seconds, settings.lease_seconds
-    if beat >= lease:
-        to.error(
+def _check_lease(settings: EntrySettings | AgentSettings, validator: Validator) -> None:
+    heartbeat, lease = settings.heartbeat_seconds, settings.lease_seconds
+    if heartbeat >= lease:
+        validator.error(
             "heartbeat_seconds",
-            f"{beat:g} is not under lease_seconds ({lease:g}); give at most"
-            f" {lease / HEARTBEATS_IN_A_LEASE:.3g}",
+            f"{heartbeat:g} is not under lease_seconds ({lease:g}); give at most"
+            f" {lease / MIN_HEARTBEATS_PER_LEASE:.3g}",
         )
-    elif beat * HEARTBEATS_IN_A_LEASE > lease:
-        to.warn(
+    elif heartbeat * MIN_HEARTBEATS_PER_LEASE > lease:
+        validator.warn(
             "heartbeat_seconds",
-            f"{beat:g} leaves under {HEARTBEATS_IN_A_LEASE} heartbeats in"
+            f"{heartbeat:g} leaves under {MIN_HEARTBEATS_PER_LEASE} heartbeats in"
             f" lease_seconds ({lease:g}); give at most"
-            f" {lease / HEARTBEATS_IN_A_LEASE:.3g}",
+            f" {lease / MIN_HEARTBEATS_PER_LEASE:.3g}",
         )
 
 
-def _check_addresses(settings: EntrySettings | AgentSettings, to: Validator) -> None:
-    if settings.link.host in ANY_ADDRESSES:
-        to.error(
+def _check_addresses(
+    settings: EntrySettings | AgentSettings, validator: Validator
+) -> None:
+    if settings.link.host in WILDCARD_ADDRESSES:
+        validator.error(
             "link.host",
             f"{settings.link.host!r} is no address that others can connect to;"
             " give this instance's own IP number",
@@ -207,11 +241,11 @@
         listeners["admin"] = settings.admin
     seen: dict[tuple[str, int], str] = {}
     for key, listen in listeners.items():
-        place = (listen.host, listen.port)
-        if listen.host and listen.port and place in seen:
-            to.error(
+        address = (listen.host, listen.port)
+        if listen.host and listen.port and address in seen:
+            validator.error(
                 f"{key}.port",
-                f"{listen.port} on {listen.host} is taken by {seen[place]};"
+                f"{listen.port} on {listen.host} is taken by {seen[address]};"
                 " give another port",
             )
-        seen.setdefault(place, key)
+        seen.setdefault(address, key)
--- a/bergamotcourse/state/start_log.py
+++ b/bergamotcourse/state/start_log.py
@@ -1,9 +1,9 @@
-"""An agent's memory of what it started: the receiver's side of "at most once".
+"""An agent's log of the starts that it admitted, which ensures at-most-once execution.
 
-A start is admitted only if all of these hold: its range's epoch is not older than the
-newest the agent has seen, its token was issued by this agent process not longer ago
-than the token's life, its submission is not barred up to its attempt, and the task was
-never started before. Everything is measured on the agent's own monotonic clock.
+A start is admitted only if all of the following hold: its range's epoch is not older
+than the newest one that the agent has seen, its token was issued by this agent process
+and has not expired, its submission is not barred up to its attempt, and the task was
+never started before. All times are on the agent's own monotonic clock.
 """
 
 from collections import OrderedDict
@@ -14,24 +14,24 @@
 from bergamotcourse.ids import Token
 
 TOKEN_TIME_BITS = 40
-"""A token is the process's random part above so many bits of milliseconds."""
+"""Low bits of a token that hold its time in milliseconds, below the boot number."""
 
 
 class Admission(Enum):
-    """Whether a task may start, and if not, why."""
+    """The decision on a start; each refusal has its reason as the value."""
 
     ADMITTED = "admitted"
-    COPY = "a copy of a start seen before"
+    DUPLICATE = "a copy of a start seen before"
     ALREADY_STARTED = "already started here by an earlier attempt"
     OLD_EPOCH = "the range has a newer epoch"
     STALE_TOKEN = "the token is too old"
     BARRED = "the submission is barred"
-    CLOSED = "the agent does not know the ranges' epochs yet"
+    EPOCHS_UNKNOWN = "the agent does not know the ranges' epochs yet"
     FULL = "the start log is full"
 
 
-class StartOrder(Protocol):
-    """What the start log reads of a start."""
+class StartMessage(Protocol):
+    """The fields of a start message that the start log reads."""
 
     submission: bytes
     index: int
@@ -44,17 +44,19 @@
 
 
 @dataclass
-class Started:
-    """What an agent started for one submission.
+class StartedSubmission:
+    """The tasks of a submission that an agent started.
 
     Attributes:
-        at_ms: When its last task was admitted.
-        claimant: Link address of the entry that sent the last start.
+        range: Range of the submission; negative if it has none or it is not known.
+        at_ms: Time at which a task was last admitted or the submission last barred.
+        claimant: Link address of the entry that sent the last admitted start.
         digest: Hash of the whole submission.
+        attempt: The highest attempt of an admitted start.
         barred: Attempts up to this one are refused; 0 for none.
-        orders: By task, the newest attempt and dispatch seen; a start that is not
-            newer is a copy.
-        refused: Tasks that were seen and provably did not run.
+        orders: The newest attempt and dispatch seen, by task; a start that is not newer
+            is a duplicate.
+        refused: Tasks that were admitted but provably did not run.
     """
 
     range: int
@@ -66,49 +68,52 @@
     orders: dict[int, tuple[int, int]] = field(default_factory=dict)
     refused: set[int] = field(default_factory=set)
 
-    def started(self) -> list[int]:
-        """Return the tasks that may have run, in order."""
+    def started_tasks(self) -> list[int]:
+        """Return the indices of the tasks that may have run, sorted."""
         return sorted(self.orders.keys() - self.refused)
 
 
 class StartLog:
-    """Admits starts and remembers them for a retention.
+    """Decides on starts and records the admitted ones for a retention period.
 
     Attributes:
         boot: Random number of this process, part of each token.
-        keep_ms: Milliseconds for which a start is remembered. Must exceed the
-            token's life, after which no copy of the start can be admitted any more.
-        limit: The number of submissions remembered; beyond it starts are refused
-            rather than forgotten early.
-        opened: The epochs of all ranges are known: starts under them are admitted.
-        oldest_token_ms: Tokens issued before are refused: once a start was refused
-            for want of room, no copy of it may be admitted later.
-        epochs: The newest epoch seen of each range.
+        token_ms: Lifetime of a token in milliseconds.
+        retention_ms: Milliseconds for which a start is kept. Must exceed the lifetime
+            of a token, after which no copy of the start can be admitted.
+        limit: Maximum number of submissions. Beyond it starts are refused, because
+            early eviction would allow duplicates.
+        epochs_loaded: The epochs of all ranges are known. Until then, starts under a
+            range are refused.
+        oldest_token_ms: Tokens issued before this time are refused. Once a start was
+            refused because the log was full, no copy of it may be admitted later.
+        epochs: The newest epoch seen, by range.
+        submissions: What was started, by submission id, least recently changed first.
     """
 
     def __init__(
         self,
         boot: int,
         token_ms: int,
-        keep_ms: int,
+        retention_ms: int,
         limit: int = 400_000,
-        opened: bool = False,
+        epochs_loaded: bool = False,
     ):
         self.boot = boot
         self.token_ms = token_ms
-        self.keep_ms = max(keep_ms, 2 * token_ms)
+        self.retention_ms = max(retention_ms, 2 * token_ms)
         self.limit = limit
-        self.opened = opened
+        self.epochs_loaded = epochs_loaded
         self.oldest_token_ms = 0
         self.epochs: dict[int, int] = {}
-        self.submissions: OrderedDict[bytes, Started] = OrderedDict()
+        self.submissions: OrderedDict[bytes, StartedSubmission] = OrderedDict()
 
     def issue_token(self, now_ms: int) -> Token:
-        """Return a token that is good for the token's life from now."""
+        """Return a token that is valid from now for the lifetime of a token."""
         return Token((self.boot << TOKEN_TIME_BITS) | now_ms)
 
     def token_is_current(self, token: int, now_ms: int) -> bool:
-        """Return whether this process issued the token within its life."""
+        """Return whether this process issued the token and it has not expired."""
         boot, issued_ms = divmod(token, 1 << TOKEN_TIME_BITS)
         if boot != self.boot:
             return False
@@ -116,21 +121,27 @@
             return False
         return 0 <= now_ms - issued_ms <= self.token_ms
 
-    def admit(self, start: StartOrder, claimant: str, now_ms: int) -> Admission:
-        """Return whether a task may start now, and remember it if so."""
-        if not self.opened and start.range >= 0:
-            return Admission.CLOSED
+    def admit(self, start: StartMessage, claimant: str, now_ms: int) -> Admission:
+        """Decide whether a task may start now, and record it if so.
+
+        Args:
+            start: The start message.
+            claimant: Link address of the entry that sent it.
+            now_ms: Current time in milliseconds.
+        """
+        if not self.epochs_loaded and start.range >= 0:
+            return Admission.EPOCHS_UNKNOWN
         if start.epoch < self.epochs.get(start.range, 0):
             return Admission.OLD_EPOCH
         if not self.token_is_current(start.token, now_ms):
             return Admission.STALE_TOKEN
         started = self.submissions.get(start.submission)
         if started is None:
-            self.forget_old(now_ms)
+            self.evict_expired(now_ms)
             if len(self.submissions) >= self.limit:
                 self.oldest_token_ms = now_ms + 1
                 return Admission.FULL
-            started = Started(start.range, now_ms)
+            started = StartedSubmission(start.range, now_ms)
             self.submissions[start.submission] = started
         self.epochs[start.range] = start.epoch
         admission = self._admit_task(started, start, now_ms)
@@ -140,12 +151,12 @@
         return admission
 
     def _admit_task(
-        self, started: Started, start: StartOrder, now_ms: int
+        self, started: StartedSubmission, start: StartMessage, now_ms: int
     ) -> Admission:
         order = (start.attempt, start.dispatch)
         known = started.orders.get(start.index)
         if known is not None and order <= known:
-            return Admission.COPY
+            return Admission.DUPLICATE
         if start.attempt <= started.barred:
             return Admission.BARRED
         if known is not None and start.index not in started.refused:
@@ -159,52 +170,58 @@
         return Admission.ADMITTED
 
     def withdraw(self, submission: bytes, index: int) -> None:
-        """Note that an admitted task provably did not run."""
+        """Record that an admitted task provably did not run."""
         started = self.submissions.get(submission)
         if started is not None and index in started.orders:
             started.refused.add(index)
 
     def fence(self, range_id: int, epoch: int) -> None:
-        """Refuse starts of epochs older than this from now on."""
+        """Refuse starts with an older epoch of the range from now on."""
         self.epochs[range_id] = max(epoch, self.epochs.get(range_id, 0))
 
     def bar(self, submission: bytes, attempt: int, now_ms: int) -> list[int]:
-        """Refuse the submission up to an attempt; return the tasks started.
+        """Refuse starts of a submission up to an attempt; return the tasks started.
 
-        Attempt 0 refuses nothing.
+        Attempt 0 bars nothing and only returns the tasks.
         """
         started = self.submissions.get(submission)
         if not attempt:
-            return started.started() if started else []
+            return started.started_tasks() if started else []
         if started is None:
-            started = Started(-1, now_ms)
+            started = StartedSubmission(-1, now_ms)
             self.submissions[submission] = started
         started.barred = max(started.barred, attempt)
         started.at_ms = now_ms
         self.submissions.move_to_end(submission)
-        return started.started()
+        return started.started_tasks()
 
     def digest(self, submission: bytes) -> bytes:
-        """Return the hash of a submission as started here, or nothing."""
+        """Return the hash of a submission that was started here, or ``b""``."""
         started = self.submissions.get(submission)
         return started.digest if started else b""
 
-    def memory_ms(self, uptime_ms: int) -> int:
-        """Return for how long back all starts are remembered."""
-        return min(uptime_ms, self.keep_ms)
+    def coverage_ms(self, uptime_ms: int) -> int:
+        """Return for how many milliseconds back the log is complete.
+
+        Args:
+            uptime_ms: Milliseconds since the agent process started.
+        """
+        return min(uptime_ms, self.retention_ms)
 
-    def started_in(self, ranges: set[int]) -> list[tuple[bytes, Started]]:
-        """Return the submissions of some ranges of which a task was started."""
+    def submissions_started_in(
+        self, ranges: set[int]
+    ) -> list[tuple[bytes, StartedSubmission]]:
+        """Return the submissions in the ranges of which a task may have run."""
         return [
             (submission, started)
             for submission, started in self.submissions.items()
-            if started.range in ranges and started.started()
+            if started.range in ranges and started.started_tasks()
         ]
 
-    def forget_old(self, now_ms: int) -> None:
-        """Drop what is older than the retention."""
+    def evict_expired(self, now_ms: int) -> None:
+        """Remove the submissions whose retention has expired."""
         while self.submissions:
             submission, started = next(iter(self.submissions.items()))
-            if now_ms - started.at_ms <= self.keep_ms:
+            if now_ms - started.at_ms <= self.retention_ms:
                 return
             del self.submissions[submission]
--- a/bergamotcourse/state/submission.py
+++ b/bergamotcourse/state/submission.py
@@ -1,4 +1,4 @@
-"""A submission: one request of a caller, of one task or many."""
+"""Submissions: requests of callers, each with one or more tasks."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -16,7 +16,7 @@
 from bergamotcourse.state.keys import KeyKind
 
 
-class Kind(Enum):
+class SubmissionKind(Enum):
     """Whether a submission is a session request or a job."""
 
     SESSION = "session"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class TaskRequest:
-    """The request that one task makes to its upstream."""
+    """The HTTP request that a task makes to its upstream."""
 
     method: str
     target: str
@@ -38,7 +38,8 @@
     """The right to start a submission.
 
     Attributes:
-        valid_until: Seconds on this process's clock; no start is sent after it.
+        valid_until: Time in seconds on this process's clock, after which no start is
+            sent.
     """
 
     range: RangeId
@@ -49,23 +50,26 @@
 
 @dataclass
 class Submission:
-    """One submission at the entry that dispatches it.
+    """A submission at the entry that dispatches it.
 
     Attributes:
-        digest: Hash of the request; a resubmission must carry the same.
-        key: What its idempotency key says of itself; ``None`` without a key.
+        digest: Hash of the request; a resubmission must have the same hash.
+        deadline: Time in seconds on this process's clock.
         repeatable: A task with unknown outcome may be sent again.
-        deadline: Seconds on this process's clock.
-        trace: Id of its trace where its steps are logged, else empty.
+        key: Kind of its idempotency key; ``None`` without a key.
+        grant: The right to start it; ``None`` until granted.
+        trace: Id of its trace if its steps are logged, otherwise empty.
+        open_tasks: Number of tasks without a final result.
         may_have_run: Tasks that were sent again after an unknown outcome.
-        results: By task; ``None`` until final.
-        run: Random number of this run, for the owner of its range.
-        done: Set when every task has its result.
-        final: Set when the results may be told; only for submissions with a key.
+        results: Final results by task; ``None`` for a task that has none yet.
+        run: Random number that identifies this run to the owner of its range.
+        done: Set when every task has its final result.
+        final: Set when the results may be returned to the caller; used only for
+            submissions with a key.
     """
 
     id: SubmissionId
-    kind: Kind
+    kind: SubmissionKind
     team: TeamId
     service: ServiceName
     tasks: list[TaskRequest]
@@ -85,12 +89,12 @@
     final: trio.Event = field(default_factory=trio.Event)
 
     def __post_init__(self):
-        """Open every task."""
+        """Mark every task as open."""
         self.open_tasks = len(self.tasks)
         self.results = [None] * len(self.tasks)
 
     def finish(self, index: int, result: object) -> None:
-        """Set the final result of a task."""
+        """Set the final result of a task; ignored if it already has one."""
         if self.results[index] is not None:
             return
         self.results[index] = result
--- a/bergamotcourse/state/validation.py
+++ b/bergamotcourse/state/validation.py
@@ -1,8 +1,8 @@
 """Validation of parsed YAML against a schema of dataclasses.
 
-The walk reports all faults of a document at once and returns a cleaned document:
-it always converts to the schema, so that checks across fields can run, and report
-as well, although single fields are at fault.
+The validator reports all issues of a document at once. It replaces faulty values by
+placeholders, so that the document always converts to the schema and the checks across
+fields can run and report as well.
 """
 
 import dataclasses
@@ -18,12 +18,12 @@
 
 from bergamotcourse.state.issues import Issue, Severity
 from bergamotcourse.state.schema import Format, Rule, required, rules
-from bergamotcourse.state.wording import (
-    KIND_WORDS,
-    describe,
-    join,
-    quote,
-    unknown_key,
+from bergamotcourse.state.validation_messages import (
+    TYPE_PHRASES,
+    describe_expected,
+    join_path,
+    quote_value,
+    unknown_key_message,
 )
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
@@ -33,11 +33,11 @@
 
 
 class Validator:
-    """Walks a document along a schema and gathers the issues.
+    """Validates a document against a schema and collects the issues.
 
     Attributes:
         file: Name of the document in the issues.
-        issues: What has been found so far.
+        issues: The issues found so far.
     """
 
     def __init__(self, file: str):
@@ -45,7 +45,7 @@
         self.issues: list[Issue] = []
 
     def convert(self, document: Any, schema: type) -> Any:
-        """Return the document as the schema's dataclass, with faults replaced."""
+        """Return the document as the schema's dataclass; faulty values are replaced."""
         cleaned = self.clean(document, schema, Rule(), "")
         return msgspec.convert(cleaned, schema, strict=True)
 
@@ -58,7 +58,7 @@
         self.issues.append(Issue(self.file, path, detail, Severity.WARNING))
 
     def clean(self, value: Any, kind: Any, rule: Rule, path: str) -> Any:
-        """Check a value; return it, or the nearest one that has the right type."""
+        """Check a value and return it, or a replacement of the expected type."""
         kind = getattr(kind, "__supertype__", kind)
         origin = typing.get_origin(kind)
         if origin in (Union, types.UnionType):
@@ -88,12 +88,14 @@
         if value in choices:
             return value
         words = ", ".join(str(choice) for choice in choices)
-        self.error(path, f"{quote(value, rule)} is not one of: {words}; give one")
+        self.error(path, f"{quote_value(value, rule)} is not one of: {words}; give one")
         return choices[0]
 
     def _clean_list(self, value: Any, kind: Any, rule: Rule, path: str) -> list[Any]:
         if not isinstance(value, list):
-            self.error(path, f"{quote(value, rule)} is not a list; write '- ' items")
+            self.error(
+                path, f"{quote_value(value, rule)} is not a list; write '- ' items"
+            )
             return []
         (item,) = typing.get_args(kind)
         return [
@@ -108,7 +110,7 @@
         cleaned = {}
         for key, one in value.items():
             if isinstance(key, str):
-                cleaned[key] = self.clean(one, item, rule, join(path, key))
+                cleaned[key] = self.clean(one, item, rule, join_path(path, key))
             else:
                 self.error(path, f"key {key!r} is not text; put it in quotes")
         return cleaned
@@ -121,44 +123,49 @@
         cleaned = {}
         for key, one in value.items():
             if key not in hints:
-                self.error(join(path, str(key)), unknown_key(str(key), list(hints)))
+                self.error(
+                    join_path(path, str(key)),
+                    unknown_key_message(str(key), list(hints)),
+                )
                 continue
             before = len(self.issues)
-            place = join(path, key)
-            result = self.clean(one, hints[key], schema_rules[key], place)
+            item_path = join_path(path, key)
+            result = self.clean(one, hints[key], schema_rules[key], item_path)
             replaced = len(self.issues) > before and type(one) is not type(result)
             if not replaced or key in required(schema):
                 cleaned[key] = result
         for key in required(schema):
             if key not in value:
-                wanted = describe(hints[key], schema_rules[key])
-                self.error(join(path, key), f"missing; give {wanted}")
+                expected = describe_expected(hints[key], schema_rules[key])
+                self.error(join_path(path, key), f"missing; give {expected}")
                 cleaned[key] = empty(hints[key])
         return cleaned
 
     def _is_mapping(self, value: Any, rule: Rule, path: str) -> bool:
         if isinstance(value, dict):
             return True
-        self.error(path, f"{quote(value, rule)} is not a mapping; write 'key: value'")
+        self.error(
+            path, f"{quote_value(value, rule)} is not a mapping; write 'key: value'"
+        )
         return False
 
     def _clean_scalar(self, value: Any, kind: type, rule: Rule, path: str) -> Any:
         if not has_type(value, kind):
             needs_quotes = kind is str and value is not None
-            wanted = f"give {describe(kind, rule)}"
-            mend = "put it in quotes" if needs_quotes else wanted
-            detail = f"{quote(value, rule)} is not {KIND_WORDS[kind]}; {mend}"
+            expected = f"give {describe_expected(kind, rule)}"
+            remedy = "put it in quotes" if needs_quotes else expected
+            detail = f"{quote_value(value, rule)} is not {TYPE_PHRASES[kind]}; {remedy}"
             self.error(path, detail)
             return kind()
         fault = text_fault(value, rule) if kind is str else range_fault(value, rule)
         if fault:
-            mend = describe(kind, rule)
-            self.error(path, f"{quote(value, rule)} is {fault}; give {mend}")
+            remedy = describe_expected(kind, rule)
+            self.error(path, f"{quote_value(value, rule)} is {fault}; give {remedy}")
         return value
 
 
 def has_type(value: Any, kind: type) -> bool:
-    """Tell whether a parsed scalar is of a type; a truth is no number."""
+    """Return whether a parsed scalar has a type; a Boolean is not a number."""
     if isinstance(value, bool):
         return kind is bool
     if kind is float:
@@ -167,7 +174,7 @@
 
 
 def range_fault(value: float, rule: Rule) -> str:
-    """Return what is wrong with a number, or ``""``."""
+    """Return the fault of a number, or ``""`` if it is valid."""
     too_low = rule.low is not None and value < rule.low
     too_high = rule.high is not None and value > rule.high
     not_above = rule.above is not None and value <= rule.above
@@ -175,7 +182,7 @@
 
 
 def text_fault(value: str, rule: Rule) -> str:
-    """Return what is wrong with a text, or ``""``."""
+    """Return the fault of a text, or ``""`` if it is valid."""
     if not value:
         return "" if rule.may_be_empty else "empty"
     match rule.format:
@@ -194,7 +201,7 @@
 
 
 def is_ip(value: str) -> bool:
-    """Tell whether a text is a literal IPv4 or IPv6 number."""
+    """Return whether a text is a literal IPv4 or IPv6 address."""
     try:
         ipaddress.ip_address(value)
     except ValueError:
@@ -203,9 +210,9 @@
 
 
 def empty(kind: Any) -> Any:
-    """Return the least value of a type, in the place of a faulty required one."""
-    silent = Validator("")
+    """Return a placeholder of a type for a required value that is missing or faulty."""
+    scratch = Validator("")
     kind = getattr(kind, "__supertype__", kind)
     if dataclasses.is_dataclass(kind):
-        return silent.clean({}, kind, Rule(), "")
-    return silent.clean(None, kind, Rule(), "")
+        return scratch.clean({}, kind, Rule(), "")
+    return scratch.clean(None, kind, Rule(), "")
--- a/bergamotcourse/state/wording.py
+++ b/bergamotcourse/state/validation_messages.py
@@ -1,4 +1,4 @@
-"""The words in which faults of a document are told."""
+"""Wording of the messages on invalid documents."""
 
 import dataclasses
 import difflib
@@ -6,16 +6,16 @@
 
 from bergamotcourse.state.schema import Format, Rule, required
 
-LONGEST_QUOTE = 80
-"""Characters of a faulty value that a message shows."""
+MAX_QUOTED_CHARS = 80
+"""Longer values are truncated in messages."""
 
-KIND_WORDS = {
+TYPE_PHRASES = {
     int: "a whole number",
     float: "a number",
     str: "text",
     bool: "true or false",
 }
-MENDS = {
+FORMAT_HINTS = {
     Format.NAME: "a name of letters, digits, '.', '_' and '-'",
     Format.NAME_PATTERN: "a name in which '*' and '?' stand for other characters",
     Format.IP: "a literal IP number such as 10.0.0.1",
@@ -24,17 +24,21 @@
 }
 
 
-def describe(kind: Any, rule: Rule) -> str:
-    """Return in words what a field takes, as in ``a port from 0 to 65535``."""
+def describe_expected(kind: Any, rule: Rule) -> str:
+    """Return a description of a field's values, as in ``a port from 0 to 65535``."""
     kind = getattr(kind, "__supertype__", kind)
-    noun = rule.wanted or MENDS.get(rule.format) or KIND_WORDS.get(kind, "a value")
+    noun = (
+        rule.expected
+        or FORMAT_HINTS.get(rule.format)
+        or TYPE_PHRASES.get(kind, "a value")
+    )
     if dataclasses.is_dataclass(kind):
         noun = f"a mapping of {', '.join(required(kind)) or 'its keys'}"
-    return noun + range_words(rule) + (f" {rule.unit}" if rule.unit else "")
+    return noun + describe_range(rule) + (f" {rule.unit}" if rule.unit else "")
 
 
-def range_words(rule: Rule) -> str:
-    """Return a rule's range in words, with a leading space, or ``""``."""
+def describe_range(rule: Rule) -> str:
+    """Return a description of a rule's range with a leading space, or ``""``."""
     words = ""
     if rule.above is not None:
         words += f" above {rule.above:g}"
@@ -45,24 +49,24 @@
     return words
 
 
-def quote(value: Any, rule: Rule) -> str:
-    """Return a faulty value for a message; a secret one is not shown."""
+def quote_value(value: Any, rule: Rule) -> str:
+    """Return a faulty value as quoted in a message; secrets are not shown."""
     if value is None:
         return "empty value"
     if rule.secret:
         return f"the value ({len(str(value))} characters, not shown)"
     text = str(value) if type(value).__module__ == "datetime" else repr(value)
-    return text if len(text) <= LONGEST_QUOTE else text[:LONGEST_QUOTE] + "..."
+    return text if len(text) <= MAX_QUOTED_CHARS else text[:MAX_QUOTED_CHARS] + "..."
 
 
-def unknown_key(key: str, known: list[str]) -> str:
-    """Return the message on an unknown key, with the nearest known one."""
+def unknown_key_message(key: str, known: list[str]) -> str:
+    """Return the message on an unknown key, which suggests the closest known key."""
     near = difflib.get_close_matches(key, known, n=1)
     if near:
         return f"unknown key {key!r}; did you mean {near[0]!r}?"
     return f"unknown key {key!r}; known keys: {', '.join(known)}"
 
 
-def join(path: str, key: str) -> str:
-    """Return the path of a key below a path."""
+def join_path(path: str, key: str) -> str:
+    """Return the path of a key within the mapping at ``path``."""
     return f"{path}.{key}" if path else key
--- a/bergamotcourse/state/yaml_text.py
+++ b/bergamotcourse/state/yaml_text.py
@@ -1,6 +1,6 @@
-"""Reading of YAML text, with faults as issues.
+"""Parsing of YAML text, with errors reported as issues.
 
-PyYAML keeps the last of two equal keys in silence; here that is an error.
+PyYAML silently keeps the last value of a repeated key; here it is an error.
 """
 
 from typing import Any
@@ -14,10 +14,14 @@
 
 
 class UniqueKeyLoader(BaseLoader):
-    """Loads plain data only, and refuses a mapping that names a key twice."""
+    """Loads builtin types only, and rejects mappings with repeated keys."""
 
     def construct_mapping(self, node: yaml.MappingNode, deep: bool = False) -> Any:
-        """Return the mapping; raise ``ConstructorError`` for a repeated key."""
+        """Return the mapping of a node.
+
+        Raises:
+            yaml.constructor.ConstructorError: A key is repeated.
+        """
         seen = set()
         for key_node, _ in node.value:
             if key_node.value.__hash__ is None or key_node.tag.endswith(":merge"):
@@ -31,11 +35,11 @@
 
 
 def parse_yaml(text: str, file: str) -> Result[Any, list[Issue]]:
-    """Return the plain data of a YAML text, or one issue with line and column."""
+    """Return the content of a YAML text, or a single issue with line and column."""
     try:
         document = yaml.load(text, Loader=UniqueKeyLoader)
     except yaml.MarkedYAMLError as error:
-        return Error([Issue(file, _place(error), f"not YAML: {_problem(error)}")])
+        return Error([Issue(file, _position(error), f"not YAML: {_problem(error)}")])
     except (yaml.YAMLError, ValueError, RecursionError) as error:
         return Error([Issue(file, "", f"not YAML: {str(error).splitlines()[0]}")])
     if document is None:
@@ -44,7 +48,7 @@
 
 
 def read_text(path: str) -> Result[str, list[Issue]]:
-    """Return the content of a file, or one issue that says why there is none."""
+    """Return the content of a file, or a single issue if it can't be read."""
     try:
         with open(path, encoding="utf-8") as file:
             return Ok(file.read())
@@ -54,7 +58,7 @@
         return Error([Issue(path, "", "is not UTF-8 text; save it as UTF-8")])
 
 
-def _place(error: yaml.MarkedYAMLError) -> str:
+def _position(error: yaml.MarkedYAMLError) -> str:
     mark = error.problem_mark
     return f"line {mark.line + 1} column {mark.column + 1}" if mark else ""
 
--- a/bergamotcourse/tests/commands/test_configuration_commands.py
+++ b/bergamotcourse/tests/commands/test_configuration_commands.py
@@ -17,7 +17,7 @@
 from bergamotcourse.protocol.platform import Write
 from bergamotcourse.standins.platform import serve_platform
 from bergamotcourse.standins.platform_store import MemoryPlatform, failed
-from bergamotcourse.state.settings import Kind
+from bergamotcourse.state.settings import ProcessKind
 from bergamotcourse.tests.configs import EXAMPLES
 
 ADDRESS = "10.0.0.1:9000"
@@ -67,8 +67,8 @@
 
     def test_settings(self, capsys):
         file = str(EXAMPLES / "entry.yaml")
-        assert validate_settings(file, Kind.ENTRY) == ExitCode.OK
-        assert validate_settings(file, Kind.AGENT) == ExitCode.INVALID
+        assert validate_settings(file, ProcessKind.ENTRY) == ExitCode.OK
+        assert validate_settings(file, ProcessKind.AGENT) == ExitCode.INVALID
         assert "unknown key 'retention_seconds'" in capsys.readouterr().err
 
 
--- a/bergamotcourse/tests/coordination/policy_parts.py
+++ b/bergamotcourse/tests/coordination/policy_parts.py
@@ -8,7 +8,7 @@
 from bergamotcourse.ids import AgentId, LinkAddress
 from bergamotcourse.protocol.messages import AgentState, Health, Offer, UpstreamOffer
 from bergamotcourse.state.manifest import Manifest, Team
-from bergamotcourse.state.submission import Kind, Submission, TaskRequest
+from bergamotcourse.state.submission import Submission, SubmissionKind, TaskRequest
 
 SERVICE = "voting"
 TASK = TaskRequest("POST", "/cast", [], b"")
@@ -58,7 +58,7 @@
 
 
 def make_submission(
-    tasks=1, kind=Kind.SESSION, team="getxo", deadline=130.0, weight=1.0
+    tasks=1, kind=SubmissionKind.SESSION, team="getxo", deadline=130.0, weight=1.0
 ):
     identity = random.randbytes(16)
     work = [TASK] * tasks
--- a/bergamotcourse/tests/coordination/test_admission.py
+++ b/bergamotcourse/tests/coordination/test_admission.py
@@ -11,7 +11,7 @@
 from bergamotcourse.coordination.permits import Permits
 from bergamotcourse.ids import ConfigVersion
 from bergamotcourse.state.manifest import Manifest, UpstreamRule
-from bergamotcourse.state.submission import Kind
+from bergamotcourse.state.submission import SubmissionKind
 from bergamotcourse.tests.coordination.policy_parts import (
     SERVICE,
     Clock,
@@ -67,7 +67,7 @@
         )
 
     def test_job_longer_than_its_deadline_is_refused_permanently(self):
-        job = make_submission(tasks=1600, kind=Kind.JOB, deadline=NOW + 30)
+        job = make_submission(tasks=1600, kind=SubmissionKind.JOB, deadline=NOW + 30)
         assert make_admission().evaluate(job, make_backlog(), NOW).retry_after == 0
         assert make_admission(0.1).evaluate(job, make_backlog(), NOW) is None
 
@@ -75,7 +75,7 @@
         admission = make_admission()
         admission.estimates = type(admission.estimates)()
         admission.estimates.declare(SERVICE, 100.0)
-        job = make_submission(tasks=16, kind=Kind.JOB, deadline=NOW + 30)
+        job = make_submission(tasks=16, kind=SubmissionKind.JOB, deadline=NOW + 30)
         assert admission.evaluate(job, make_backlog(), NOW) is None
 
 
@@ -129,5 +129,5 @@
 
     def test_job_too_long_for_the_quota_is_refused_permanently(self):
         admission = make_admission(quota_starts_per_second=10.0)
-        job = make_submission(tasks=1600, kind=Kind.JOB, deadline=NOW + 30)
+        job = make_submission(tasks=1600, kind=SubmissionKind.JOB, deadline=NOW + 30)
         assert admission.evaluate(job, make_backlog(), NOW).retry_after == 0
--- a/bergamotcourse/tests/coordination/test_config_audit.py
+++ b/bergamotcourse/tests/coordination/test_config_audit.py
@@ -15,7 +15,7 @@
 from bergamotcourse.protocol.platform import Write
 from bergamotcourse.standins.platform_store import MemoryPlatform
 from bergamotcourse.state import config_record
-from bergamotcourse.state.config_record import Record, encode_record, seal
+from bergamotcourse.state.config_record import Record, encode_record, with_record_hash
 from bergamotcourse.tests.configs import accept, accept_releases, make_manifest, run
 
 
@@ -96,7 +96,7 @@
     def test_rehashed_record_is_detected_at_its_successor(self):
         async def tamper(platform):
             record = await stored_record(platform, 2)
-            forged = seal(replace(record, who="jon"))
+            forged = with_record_hash(replace(record, who="jon"))
             await overwrite_record(platform, 2, encode_record(forged))
 
         detail = "the record does not follow the one before"
@@ -105,7 +105,7 @@
     def test_rehashed_last_record_is_detected_by_the_head(self):
         async def tamper(platform):
             record = await stored_record(platform, 4)
-            forged = seal(replace(record, who="jon"))
+            forged = with_record_hash(replace(record, who="jon"))
             await overwrite_record(platform, 4, encode_record(forged))
 
         detail = "the head names another record"
--- a/bergamotcourse/tests/coordination/test_takeover.py
+++ b/bergamotcourse/tests/coordination/test_takeover.py
@@ -123,9 +123,9 @@
             await take_over(one, name)
             fleet.agents["agent-1"].kill()
             agent = fleet.start_agent("agent-1").agent
-            assert not agent.start_log.opened
+            assert not agent.start_log.epochs_loaded
             await trio.sleep(1)
-            assert agent.start_log.opened
+            assert agent.start_log.epochs_loaded
             taken_over = [r for r, s in one.view.ranges.items() if s.row.former == name]
             assert taken_over
             assert all(agent.start_log.epochs[r] == 2 for r in taken_over)
--- a/bergamotcourse/tests/daemons/test_metrics.py
+++ b/bergamotcourse/tests/daemons/test_metrics.py
@@ -21,7 +21,7 @@
     Sample,
     Timings,
 )
-from bergamotcourse.state.settings import Listen
+from bergamotcourse.state.settings import SocketAddress
 from bergamotcourse.transport.http import HttpRequest
 from bergamotcourse.virtual.clock import run_virtual
 from bergamotcourse.virtual.fleet import FleetShape, VirtualFleet
@@ -39,7 +39,7 @@
 
 def report(receiver, samples, timings=None):
     """Report samples one after the other; return the lines received."""
-    listen = Listen(host="127.0.0.1", port=receiver.getsockname()[1])
+    listen = SocketAddress(host="127.0.0.1", port=receiver.getsockname()[1])
     timings = timings or Timings(random.Random(1))
     left = list(samples)
     reporter = MetricsReporter(listen, "entry", "a.b", lambda: left.pop(0), timings)
@@ -124,7 +124,7 @@
     def test_a_receiver_that_is_gone_is_no_error(self, statsd):
         port = statsd.getsockname()[1]
         statsd.close()
-        listen = Listen(host="127.0.0.1", port=port)
+        listen = SocketAddress(host="127.0.0.1", port=port)
         sample = Sample(gauges={f"name-{n}": n for n in range(2000)})
         timings = Timings(random.Random(1))
         reporter = MetricsReporter(listen, "entry", "a", lambda: sample, timings)
--- a/bergamotcourse/tests/jobs/chaos.py
+++ b/bergamotcourse/tests/jobs/chaos.py
@@ -5,7 +5,7 @@
 import trio
 
 from bergamotcourse.coordination.jobs.job_run import JobOutcome
-from bergamotcourse.state.job_spec import job_of
+from bergamotcourse.state.job_spec import job_id_of_task
 from bergamotcourse.virtual.job_fleet import job
 
 CALLER_RETRY_SECONDS = 1.3
@@ -58,7 +58,9 @@
 
     def refused_and_ran(self):
         """Return the jobs that were reported as not run, and ran."""
-        return self.refused & {job_of(run.key.task) for run in self.fleet.history}
+        return self.refused & {
+            job_id_of_task(run.key.task) for run in self.fleet.history
+        }
 
     def returned_and_ran(self):
         """Return the runs that an entry recorded as never started, and that ran."""
@@ -67,7 +69,7 @@
             (again["task"], again["run"])
             for again in self.fleet.logged("task.again")
             if again["outcome"] in ("returned", "stale")
-            and job_of(again["task"]) in self.submitted_once
+            and job_id_of_task(again["task"]) in self.submitted_once
         }
         return ran & returned
 
--- a/bergamotcourse/tests/jobs/test_evacuations.py
+++ b/bergamotcourse/tests/jobs/test_evacuations.py
@@ -10,7 +10,7 @@
 from bergamotcourse.coordination.jobs.job_order import DISCOVERY_SECONDS
 from bergamotcourse.coordination.jobs.job_run import JobOutcome
 from bergamotcourse.ids import ZoneName
-from bergamotcourse.state.evacuations import Evacuations, ZoneChange, apply_changes
+from bergamotcourse.state.evacuations import Evacuations, ZoneChange, apply_zone_changes
 from bergamotcourse.tests.jobs.chaos import Chaos
 from bergamotcourse.tests.jobs.fleets import run_fleet
 from bergamotcourse.virtual.job_fleet import job
@@ -51,14 +51,14 @@
             ZoneChange(ZoneName(zone), evacuated, number)
             for number, (zone, evacuated) in enumerate(made, start=1)
         ]
-        leader = apply_changes(Evacuations(), tuple(changes))
+        leader = apply_zone_changes(Evacuations(), tuple(changes))
         views = [Evacuations()]
         for _ in range(4):
             cut = rng.randint(0, len(changes))
-            view = apply_changes(Evacuations(), tuple(changes[:cut]))
+            view = apply_zone_changes(Evacuations(), tuple(changes[:cut]))
             views.append(max(view, *views, key=lambda one: one.version))
         for view in views:
-            assert apply_changes(view, tuple(changes)) == leader
+            assert apply_zone_changes(view, tuple(changes)) == leader
 
 
 class TestPlacement:
--- a/bergamotcourse/tests/jobs/test_job_path.py
+++ b/bergamotcourse/tests/jobs/test_job_path.py
@@ -7,7 +7,7 @@
 
 from bergamotcourse.coordination.jobs.job_run import JobOutcome
 from bergamotcourse.state.job_spec import JobId, JobSpec, StepSpec
-from bergamotcourse.state.resources import NOTHING
+from bergamotcourse.state.resources import NO_RESOURCES
 from bergamotcourse.tests.jobs.fleets import run_fleet
 from bergamotcourse.virtual.job_fleet import CAPACITY, NEEDS, QUEUE, job
 
@@ -151,7 +151,7 @@
             links = jobs.links.links
             rooms = {address: link.room for address, link in links.items()}
             for link in links.values():
-                link.room = msgspec.structs.replace(link.room, capacity=NOTHING)
+                link.room = msgspec.structs.replace(link.room, capacity=NO_RESOURCES)
             spec = job("a")
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.submit, "entry-1", spec)
--- a/bergamotcourse/tests/jobs/test_placement.py
+++ b/bergamotcourse/tests/jobs/test_placement.py
@@ -7,7 +7,7 @@
 from bergamotcourse.protocol.task_messages import AgentRoom
 from bergamotcourse.protocol.upstream_orders import RunKey
 from bergamotcourse.state.job_spec import StepSpec, TaskName
-from bergamotcourse.state.resources import NOTHING, Resources
+from bergamotcourse.state.resources import NO_RESOURCES, Resources
 
 CAPACITY = Resources(32_000, 65_536, 0)
 NEEDS = Resources(3_100, 64, 0)
@@ -20,7 +20,7 @@
         labels=labels,
         capacity=CAPACITY,
         committed=Resources(used, 0, 0),
-        receiver_committed=NOTHING,
+        receiver_committed=NO_RESOURCES,
         on_trial=False,
     )
     return link
--- a/bergamotcourse/tests/platform/soak/verdict.py
+++ b/bergamotcourse/tests/platform/soak/verdict.py
@@ -4,7 +4,7 @@
 
 from bergamotcourse.protocol.upstream_orders import EndKind
 from bergamotcourse.standins.order_upstream import Run, overlaps
-from bergamotcourse.state.job_spec import job_of
+from bergamotcourse.state.job_spec import job_id_of_task
 from bergamotcourse.tests.platform.soak.records import (
     Attempt,
     Evacuation,
@@ -48,7 +48,7 @@
     seen = defaultdict(set)
     for attempt in attempts:
         seen[attempt.job].add(attempt.seen)
-    ran = {job_of(run.key.task) for run in history}
+    ran = {job_id_of_task(run.key.task) for run in history}
     refused = {job for job, kinds in seen.items() if kinds <= {Seen.REFUSED}}
     return [f"refused, and ran: {job}" for job in sorted(refused & ran)]
 
@@ -58,7 +58,7 @@
     done = defaultdict(set)
     for run in history:
         if run.kind is EndKind.DONE:
-            done[job_of(run.key.task)].add(run.key.task)
+            done[job_id_of_task(run.key.task)].add(run.key.task)
     return [
         f"succeeded with {len(done[one.job])} of {records.tasks[one.job]}: {one.job}"
         for one in records.attempts
@@ -68,7 +68,7 @@
 
 def find_unasked(records: Records, history: list[Run]) -> list[str]:
     """A run of a job that no caller handed in."""
-    ran = {job_of(run.key.task) for run in history}
+    ran = {job_id_of_task(run.key.task) for run in history}
     return [f"nobody asked for {job}" for job in sorted(ran - set(records.tasks))]
 
 
@@ -138,7 +138,7 @@
     """
     started = defaultdict(list)
     for run in history:
-        started[job_of(run.key.task)].append(run.started_at)
+        started[job_id_of_task(run.key.task)].append(run.started_at)
     return [
         f"{one.seen.value}: {one.job} at {one.entry}, {one.sent_at:.3f} to "
         f"{one.ended_at:.3f}"
--- a/bergamotcourse/tests/platform/test_reports.py
+++ b/bergamotcourse/tests/platform/test_reports.py
@@ -10,7 +10,7 @@
 from bergamotcourse.coordination.jobs.upstream_life import UpstreamLife
 from bergamotcourse.platform.reports import ReportsFront
 from bergamotcourse.protocol.upstream_orders import LifeKey
-from bergamotcourse.state.resources import NOTHING
+from bergamotcourse.state.resources import NO_RESOURCES
 from bergamotcourse.tests.platform.test_documents import BEAT
 from bergamotcourse.transport.http import HttpRequest
 
@@ -30,7 +30,7 @@
         return None
 
     def capacity(self):
-        return self.life.report.capacity if self.life else NOTHING
+        return self.life.report.capacity if self.life else NO_RESOURCES
 
     def handle_upstream_report(self, report):
         self.reports.append(report)
--- a/bergamotcourse/tests/state/test_manifest.py
+++ b/bergamotcourse/tests/state/test_manifest.py
@@ -22,7 +22,7 @@
 
 
 class TestParseManifest:
-    def test_the_example_has_no_issues(self):
+    def test_example_manifest_has_no_issues(self):
         assert parse_manifest(EXAMPLE, "manifest.yaml").ok.warnings == []
 
     @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
             ),
         ],
     )
-    def test_refuses(self, text, words):
+    def test_invalid_manifest_is_rejected(self, text, words):
         assert parse_manifest(text, "m.yaml").is_error()
         assert any(words in issue for issue in issues_of(text))
 
@@ -81,22 +81,22 @@
             ),
         ],
     )
-    def test_warns(self, text, words):
+    def test_suspicious_manifest_gives_warning(self, text, words):
         assert parse_manifest(text, "m.yaml").is_ok()
         assert any("warning" in issue and words in issue for issue in issues_of(text))
 
-    def test_reports_faults_of_fields_and_across_items_at_once(self):
+    def test_field_and_cross_item_errors_are_reported_together(self):
         text = SERVICES + "teams: [{name: t, weight: 0, services: [x]}]"
         found = [issue for issue in issues_of(text) if "warning" not in issue]
         assert len(found) == 2
 
-    def test_a_plain_token_is_not_shown(self):
+    def test_plain_token_is_not_revealed_in_issues(self):
         text = HEAD + "operators: [{name: o, credentials: [plain-token]}]"
         assert not any("plain-token" in issue for issue in issues_of(text))
 
 
 class TestCanonicalBytes:
-    def test_order_and_number_types_do_not_count(self):
+    def test_encoding_is_independent_of_list_order_and_number_type(self):
         one = make_manifest(weight=2.0)
         teams = [*one.teams, Team(name="basauri")]
         two = replace(one, teams=teams)
@@ -104,13 +104,13 @@
         assert encode_manifest(two) == encode_manifest(three)
         assert digest(two) != digest(one)
 
-    def test_round_trip(self):
+    def test_encoded_manifest_decodes_to_equal_manifest(self):
         manifest = parse_manifest(EXAMPLE, "manifest.yaml").ok.manifest
         assert decode_manifest(encode_manifest(manifest)) == manifest
 
 
 class TestJsonSchema:
-    def test_accepts_the_example(self):
+    def test_schema_accepts_example_manifest(self):
         jsonschema.validate(yaml.safe_load(EXAMPLE), manifest_schema())
 
     @pytest.mark.parametrize(
@@ -122,6 +122,6 @@
             {"release": "r", "teams": [{"name": "t", "credentials": ["plain"]}]},
         ],
     )
-    def test_refuses(self, document):
+    def test_schema_rejects_invalid_manifest(self, document):
         with pytest.raises(jsonschema.ValidationError):
             jsonschema.validate(document, manifest_schema())
--- a/bergamotcourse/tests/state/test_manifest_diff.py
+++ b/bergamotcourse/tests/state/test_manifest_diff.py
@@ -50,7 +50,7 @@
 
 class TestApplyChanges:
     @given(manifests, manifests)
-    def test_a_delta_leads_to_the_other_manifest_and_back(self, old, new):
+    def test_delta_and_its_inverse_reproduce_both_manifests(self, old, new):
         sent = msgspec.json.encode(diff_manifests(old, new))
         changes = msgspec.json.decode(sent, type=Changes)
         after = apply_changes(old, changes).ok
@@ -58,17 +58,17 @@
         assert digest(apply_changes(after, invert_changes(changes)).ok) == digest(old)
 
     @given(manifests)
-    def test_equal_manifests_have_no_changes(self, manifest):
-        assert diff_manifests(manifest, manifest).all() == []
+    def test_equal_manifests_give_empty_delta(self, manifest):
+        assert diff_manifests(manifest, manifest).sorted_by_path() == []
 
-    def test_a_delta_made_for_another_manifest_is_refused(self):
+    def test_delta_for_different_manifest_is_rejected(self):
         changes = diff_manifests(make_manifest(weight=1.0), make_manifest(weight=2.0))
         result = apply_changes(make_manifest(weight=3.0), changes)
         assert "teams.getxo.weight" in result.error.detail
 
 
 class TestDescribeChanges:
-    def test_words(self):
+    def test_each_kind_of_change_is_described(self):
         old = make_manifest()
         new = replace(
             make_manifest("r2", weight=3.0),
@@ -82,7 +82,7 @@
             "~ teams.getxo.weight: 1.0 -> 3.0",
         ]
 
-    def test_credentials_are_shortened(self):
+    def test_credentials_are_not_revealed_in_full(self):
         old = replace(make_manifest(), teams=[Team(name="t", credentials=["a" * 64])])
         new = replace(make_manifest(), teams=[Team(name="t", credentials=["b" * 64])])
         (words,) = describe_changes(diff_manifests(old, new))
--- a/bergamotcourse/tests/state/test_settings.py
+++ b/bergamotcourse/tests/state/test_settings.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bergamotcourse.state.reference import settings_page
-from bergamotcourse.state.settings import Kind, load_settings, parse_settings
+from bergamotcourse.state.settings import ProcessKind, load_settings, parse_settings
 from bergamotcourse.tests.configs import EXAMPLES
 
 REFERENCE = Path(EXAMPLES).parent / "docs" / "reference" / "settings.md"
@@ -12,19 +12,19 @@
 
 
 class TestLoadSettings:
-    @pytest.mark.parametrize("kind", Kind)
-    def test_the_examples_have_no_issues(self, kind):
+    @pytest.mark.parametrize("kind", ProcessKind)
+    def test_example_settings_have_no_issues(self, kind):
         loaded = load_settings(EXAMPLES / f"{kind.value}.yaml", kind).ok
         assert loaded.warnings == []
 
-    def test_defaults(self):
-        settings = parse_settings(ENTRY, "entry.yaml", Kind.ENTRY).ok.settings
+    def test_omitted_settings_get_defaults(self):
+        settings = parse_settings(ENTRY, "entry.yaml", ProcessKind.ENTRY).ok.settings
         assert settings.http_limits.header_bytes == 16384
         assert settings.answer_bytes == 64 * 1024 * 1024
         assert settings.neighbours == 32
 
-    def test_a_missing_file_is_an_issue(self, tmp_path):
-        (issue,) = load_settings(tmp_path / "no.yaml", Kind.ENTRY).error
+    def test_missing_file_is_reported_as_issue(self, tmp_path):
+        (issue,) = load_settings(tmp_path / "no.yaml", ProcessKind.ENTRY).error
         assert "No such file" in issue.detail
 
 
@@ -33,30 +33,34 @@
         ("text", "kind", "path"),
         [
             (ENTRY.replace("heartbeat_seconds: 1", "heartbeat_seconds: 5"),)
-            + (Kind.ENTRY, "heartbeat_seconds"),
+            + (ProcessKind.ENTRY, "heartbeat_seconds"),
             (ENTRY.replace("retention_seconds: 600", "retention_seconds: 4"),)
-            + (Kind.ENTRY, "retention_seconds"),
-            (ENTRY.replace("port: 8081", "port: 7400"), Kind.ENTRY, "admin.port"),
+            + (ProcessKind.ENTRY, "retention_seconds"),
+            (
+                ENTRY.replace("port: 8081", "port: 7400"),
+                ProcessKind.ENTRY,
+                "admin.port",
+            ),
             (AGENT.replace("start_log_seconds: 600", "start_log_seconds: 2"),)
-            + (Kind.AGENT, "start_log_seconds"),
-            (AGENT.replace("10.20.1.21", "0.0.0.0"), Kind.AGENT, "link.host"),
+            + (ProcessKind.AGENT, "start_log_seconds"),
+            (AGENT.replace("10.20.1.21", "0.0.0.0"), ProcessKind.AGENT, "link.host"),
         ],
     )
-    def test_refuses(self, text, kind, path):
+    def test_inconsistent_settings_are_rejected(self, text, kind, path):
         (issue,) = parse_settings(text, "f.yaml", kind).error
         assert issue.path == path
 
-    def test_few_heartbeats_in_a_lease_are_a_warning(self):
+    def test_too_few_heartbeats_per_lease_give_warning(self):
         text = AGENT.replace("heartbeat_seconds: 1", "heartbeat_seconds: 2")
-        (issue,) = parse_settings(text, "f.yaml", Kind.AGENT).ok.warnings
+        (issue,) = parse_settings(text, "f.yaml", ProcessKind.AGENT).ok.warnings
         assert issue.path == "heartbeat_seconds"
 
-    def test_are_reported_beside_errors_of_fields(self):
+    def test_cross_field_errors_are_reported_with_field_errors(self):
         text = ENTRY.replace("heartbeat_seconds: 1", "heartbeat_seconds: 5")
-        found = parse_settings(text + "zoo: 1\n", "f.yaml", Kind.ENTRY).error
+        found = parse_settings(text + "zoo: 1\n", "f.yaml", ProcessKind.ENTRY).error
         assert [issue.path for issue in found] == ["zoo", "heartbeat_seconds"]
 
 
 class TestReferencePage:
-    def test_the_committed_page_is_the_generated_one(self):
+    def test_committed_settings_page_is_up_to_date(self):
         assert REFERENCE.read_text() == settings_page()
--- a/bergamotcourse/tests/state/test_validation.py
+++ b/bergamotcourse/tests/state/test_validation.py
@@ -6,7 +6,7 @@
 import pytest
 
 from bergamotcourse.state.issues import Severity
-from bergamotcourse.state.schema import Format, described
+from bergamotcourse.state.schema import Format, schema_field
 from bergamotcourse.state.validation import Validator
 from bergamotcourse.state.yaml_text import parse_yaml
 
@@ -18,23 +18,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Inner:
-    port: int = described("", wanted="a port", low=0, high=65535)
+    port: int = schema_field("", expected="a port", low=0, high=65535)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Outer:
     inner: Inner
-    name: str = described("", format=Format.NAME, may_be_empty=False)
-    share: float = described("", 0.5, low=0, high=1)
-    weight: float = described("", 1.0, above=0)
+    name: str = schema_field("", format=Format.NAME, may_be_empty=False)
+    share: float = schema_field("", 0.5, low=0, high=1)
+    weight: float = schema_field("", 1.0, above=0)
     flag: bool = True
     color: Color = Color.RED
     mode: Literal["fast", "slow"] = "fast"
-    hosts: list[str] = described("", factory=list, format=Format.IP)
-    inners: list[Inner] = described("", factory=list)
-    limits: dict[str, int] = described("", factory=dict, low=1)
+    hosts: list[str] = schema_field("", factory=list, format=Format.IP)
+    inners: list[Inner] = schema_field("", factory=list)
+    limits: dict[str, int] = schema_field("", factory=dict, low=1)
     extra: Inner | None = None
-    token: str = described("", "", format=Format.SHA256, secret=True)
+    token: str = schema_field("", "", format=Format.SHA256, secret=True)
 
 
 def issues_of(**document):
@@ -46,7 +46,7 @@
 
 
 class TestValidator:
-    def test_accepts_a_valid_document(self):
+    def test_valid_document_has_no_issues(self):
         document = {"inner": {"port": 80}, "name": "a", "share": 1, "extra": None}
         validator = Validator("f.yaml")
         converted = validator.convert(document, Outer)
@@ -111,19 +111,19 @@
             ),
         ],
     )
-    def test_names_path_value_and_mend(self, document, issue):
+    def test_issue_names_path_value_and_remedy(self, document, issue):
         assert issues_of(**document) == [f"f.yaml: {issue}"]
 
-    def test_reports_all_errors_at_once(self):
+    def test_all_errors_are_reported_at_once(self):
         found = issues_of(inner={"port": True}, name=None, share="x", colour="red")
         assert len(found) == 4
 
-    def test_never_shows_a_secret(self):
+    def test_secret_value_is_not_revealed(self):
         (found,) = issues_of(token="hunter2")
         assert "hunter2" not in found
         assert "7 characters, not shown" in found
 
-    def test_a_warning_says_so(self):
+    def test_warning_is_marked_in_its_text(self):
         validator = Validator("f.yaml")
         validator.warn("a", "is odd")
         assert validator.issues[0].severity is Severity.WARNING
@@ -141,6 +141,6 @@
             ("? [1]\n: 2", "unhashable key"),
         ],
     )
-    def test_refuses(self, text, words):
+    def test_malformed_yaml_is_rejected(self, text, words):
         (issue,) = parse_yaml(text, "f.yaml").error
         assert words in str(issue)
--- a/bergamotcourse/tests/virtual/test_policy.py
+++ b/bergamotcourse/tests/virtual/test_policy.py
@@ -7,7 +7,7 @@
 from bergamotcourse.coordination.submissions import Completed, Refused
 from bergamotcourse.protocol.outcome import Outcome
 from bergamotcourse.state.manifest import Manifest, Policy, Service, Team, UpstreamRule
-from bergamotcourse.state.submission import Kind, Submission, TaskRequest
+from bergamotcourse.state.submission import Submission, SubmissionKind, TaskRequest
 from bergamotcourse.transport.http import HttpRequest
 from bergamotcourse.virtual.clock import run_virtual
 from bergamotcourse.virtual.fleet import (
@@ -53,7 +53,7 @@
 
     def submission(self, tasks, run_ms, team, timeout):
         request = TaskRequest("POST", f"/cast?run_ms={run_ms}", [], b"")
-        kind = Kind.SESSION if tasks == 1 else Kind.JOB
+        kind = SubmissionKind.SESSION if tasks == 1 else SubmissionKind.JOB
         identity = self.fleet.rng.randbytes(16)
         deadline = trio.current_time() + timeout
         work = [request] * tasks
--- a/bergamotcourse/virtual/processes.py
+++ b/bergamotcourse/virtual/processes.py
@@ -171,7 +171,7 @@
         await self.registration.watch()
         self.agent.first = bool(self.registration.first)
         log = self.agent.start_log
-        if self.registration.registered and not log.opened:
+        if self.registration.registered and not log.epochs_loaded:
             await read_epochs(self.platform, log)
 
 
