--- a/bergamotcourse/coordination/jobs/upstream_health.py
+++ b/bergamotcourse/coordination/jobs/upstream_health.py
@@ -51,7 +51,7 @@
 
 LOG_RATIO_BIAS = 0.2
 """How much higher the mean of that logarithm is among the tasks running at one moment:
-tasks that take long are observed running more often."""
+tasks that take long are seen running more often."""
 
 SLOW_DEVIATIONS = 4.0
 """Standard deviations above the usual pace from which an upstream counts as slow. With
--- a/bergamotcourse/coordination/lease_view.py
+++ b/bergamotcourse/coordination/lease_view.py
@@ -29,7 +29,7 @@
         unchanged_since: When this version was first read; moved forward over periods in
             which the platform was unavailable.
         written_after: Lower bound of the time at which the last renewal took effect.
-            Minus infinity for a row whose change this process has not observed.
+            Minus infinity for a row whose change this process has not seen.
         renewed_after: Lower bound of the time at which the entry began its last
             renewal. The entry began it after the previous renewal had taken effect, but
             possibly long before the last one took effect itself.
