--- a/bergamotcourse/platform/__init__.py
+++ b/bergamotcourse/platform/__init__.py
@@ -1,1 +1,4 @@
-"""The adapter to the users' platform: names, formats and calls, no decisions."""
+"""The adapter to the users' platform: its names, formats and HTTP calls.
+
+It contains no dispatching decisions.
+"""
--- a/bergamotcourse/platform/agent.py
+++ b/bergamotcourse/platform/agent.py
@@ -1,4 +1,4 @@
-"""Runs an agent beside a worker: ``python3 -m bergamotcourse.platform.agent``."""
+"""Entry point of a worker's agent: ``python3 -m bergamotcourse.platform.agent``."""
 
 import sys
 from collections.abc import Callable
@@ -9,24 +9,29 @@
 from bergamotcourse.daemons.job_process import run_process
 from bergamotcourse.ids import ServiceName
 from bergamotcourse.platform.machine import Machine
-from bergamotcourse.platform.reports import ReportsFront
+from bergamotcourse.platform.reports import WorkerReportHandler
 from bergamotcourse.platform.worker_orders import WorkerOrders
 from bergamotcourse.protocol.upstream_orders import OrderPort, UpstreamReport
 from bergamotcourse.transport.http import Handler
 
 
 class AgentMachine(Machine):
-    """The platform as an agent sees it; implements ``AgentPlatform``."""
+    """The platform's adapter for an agent; implements ``AgentPlatform``."""
 
     def orders(self, report: UpstreamReport, token: int) -> OrderPort:
-        """Return the port to a worker."""
+        """Return the port that sends orders to the worker.
+
+        Args:
+            report: The worker's report; gives its address and its incarnation.
+            token: The fencing token that the orders carry.
+        """
         return WorkerOrders.connect(report, token)
 
     def reports(
         self, executor: Executor, on_change: Callable[[], None], log: EventLog
     ) -> Handler:
-        """Return the handler of workers' reports."""
-        return ReportsFront(executor, on_change, self._service, log).handle
+        """Return the HTTP handler of workers' reports."""
+        return WorkerReportHandler(executor, on_change, self._service, log).handle
 
     def _service(self) -> ServiceName:
         return self.settings().service
--- a/bergamotcourse/platform/callers.py
+++ b/bergamotcourse/platform/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP interfaces of an entry: callers' jobs and readiness."""
+"""The HTTP interfaces of an entry: callers' job requests and readiness."""
 
 import re
 from collections.abc import Callable
@@ -16,15 +16,15 @@
 from bergamotcourse.transport.http_json import json_answer
 from bergamotcourse.transport.http_problem import plain_problem
 
-JOB_ID = re.compile(r"[0-9a-f]{16}")
+JOB_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
 DEADLINE_HEADER = "bergamotcourse-deadline-ms"
 
-DEFAULT_SECONDS = 5.0
-"""For a caller that does not say for how long it waits."""
+DEFAULT_DEADLINE_SECONDS = 5.0
+"""Applies if the request has no valid deadline header."""
 
 NOT_READY_RETRY_SECONDS = 1.0
 
-STATUSES = {
+HTTP_STATUS_BY_OUTCOME = {
     JobOutcome.SUCCEEDED: 200,
     JobOutcome.FAILED: 200,
     JobOutcome.CANCELLED: 200,
@@ -33,14 +33,14 @@
 }
 
 
-class CallersFront:
-    """Answers callers' requests about jobs."""
+class CallerRequestHandler:
+    """Handles callers' requests to submit, query and cancel jobs."""
 
     def __init__(self, service: JobService):
         self.service = service
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Return the response to one request."""
         if not self.service.is_configured():
             return plain_problem(503, "no configuration yet", NOT_READY_RETRY_SECONDS)
         path = urlsplit(request.target).path
@@ -50,7 +50,7 @@
         name = path[len(queue.path_prefix) :]
         if request.method == "GET" and not name:
             return json_answer({"pending": self.service.pending(queue)})
-        if not JOB_ID.fullmatch(name):
+        if not JOB_ID_PATTERN.fullmatch(name):
             return plain_problem(400, "a job's id has 16 hexadecimal digits")
         job_id = JobId(name)
         match request.method:
@@ -73,35 +73,37 @@
             spec = decode_job(job_id, request.body)
         except ValueError as error:
             return plain_problem(400, f"malformed job: {error}")
-        answer = await self.service.submit(spec, queue, deadline_of(request))
+        answer = await self.service.submit(
+            spec, queue, caller_deadline_seconds(request)
+        )
         return job_response(answer)
 
 
-class ReadinessFront:
-    """Tells the balancer whether this entry wants callers."""
+class ReadinessHandler:
+    """Reports to the balancer whether this entry accepts callers' requests."""
 
     def __init__(self, is_ready: Callable[[], bool]):
         self.is_ready = is_ready
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Return the response to one request."""
         ready = self.is_ready()
         return json_answer({"ready": ready}, 200 if ready else 503)
 
 
-class UnusedFront:
-    """Refuses calls to an address that has to be served and has no use here."""
+class UnusedAddressHandler:
+    """Refuses all requests to an address that must be served but is unused."""
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Return the response to one request."""
         return plain_problem(404, "workers report to the agent beside them")
 
 
 def job_response(answer: JobAnswer) -> HttpResponse:
-    """Return the response to the caller that handed a job in."""
+    """Return the response to the caller that submitted a job."""
     if answer.outcome is None:
         return plain_problem(409, answer.why)
-    status = STATUSES[answer.outcome]
+    status = HTTP_STATUS_BY_OUTCOME[answer.outcome]
     if status == 200:
         return json_answer({"state": answer.outcome.value})
     retry_after = answer.retry_after if status == 503 else None
@@ -109,22 +111,22 @@
 
 
 def state_response(state: JobState | None) -> HttpResponse:
-    """Return the response to a caller that asks for a job's state."""
+    """Return the response to a request for a job's state."""
     if state is None:
         return plain_problem(410, "no such job")
     return json_answer({"state": state.value})
 
 
 def cancel_response(cancelled: bool) -> HttpResponse:
-    """Return the response to a caller that cancels a job."""
+    """Return the response to a request to cancel a job."""
     if not cancelled:
         return plain_problem(410, "no such job")
     return json_answer({})
 
 
-def deadline_of(request: HttpRequest) -> float:
-    """Return for how many seconds the caller waits."""
+def caller_deadline_seconds(request: HttpRequest) -> float:
+    """Return how long the caller waits for the answer, in seconds."""
     try:
         return int(request.header(DEADLINE_HEADER)) / 1000
     except ValueError:
-        return DEFAULT_SECONDS
+        return DEFAULT_DEADLINE_SECONDS
--- a/bergamotcourse/platform/documents.py
+++ b/bergamotcourse/platform/documents.py
@@ -1,4 +1,7 @@
-"""The platform's documents, decoded once into the product's types."""
+"""Decoders of the platform's documents.
+
+They convert to this project's types; no other module knows the documents' fields.
+"""
 
 from enum import Enum
 from typing import Annotated, Any
@@ -23,12 +26,12 @@
 )
 from bergamotcourse.state.resources import Resources
 
-MOST_TASKS = 10_000
-"""Tasks of one job; more are refused as malformed."""
+MAX_TASKS_PER_JOB = 10_000
+"""A job with more tasks is refused as malformed."""
 
 
 class WireRoute(msgspec.Struct):
-    """A route, which is a queue of jobs."""
+    """A route, which defines a queue of jobs."""
 
     name: str
     host: str
@@ -41,14 +44,14 @@
 
 
 class WireConfig(msgspec.Struct):
-    """The desired state, as far as it is used."""
+    """The operator's configuration; fields that are not used are left out."""
 
     version: int
     routes: list[WireRoute]
 
 
 class WireStep(msgspec.Struct):
-    """A step of a job; what is false, 0 or empty is left out."""
+    """A step of a job; clients omit fields that are false, 0 or empty."""
 
     count: int = 1
     cpu: int = 0
@@ -67,7 +70,7 @@
 
 
 class WireJob(msgspec.Struct):
-    """A job as a client submits it."""
+    """A job as submitted by a client."""
 
     spec: str
     steps: list[WireStep]
@@ -77,38 +80,39 @@
 
 
 class WireState(Enum):
-    """Whether a worker takes tasks."""
+    """Whether a worker accepts tasks."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
-Amount = Annotated[int, msgspec.Meta(ge=0)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class WireCapacity(msgspec.Struct, frozen=True):
-    """What a worker has."""
+    """The resources of a worker."""
 
-    cpu: Amount
-    mem_mb: Amount
-    gpu: Amount = 0
+    cpu: NonNegativeInt
+    mem_mb: NonNegativeInt
+    gpu: NonNegativeInt = 0
 
 
 class WireDeparture(msgspec.Struct):
-    """What a worker says when it ends as planned; it may say nothing.
+    """The body of a worker's notice of a planned stop; the body may be empty.
 
     Attributes:
         born: Milliseconds since 1970 at the start of the worker's process.
     """
 
-    born: Amount = 0
+    born: NonNegativeInt = 0
 
 
 class WireHeartbeat(msgspec.Struct):
-    """A worker's report of itself.
+    """A worker's periodic report of itself.
 
-    What another writer sends may lack a field: a report without a capacity or a clock
-    would put an upstream to which nothing can be placed in the place of a sound one.
+    Capacity and clock are required because other programs may send incomplete reports:
+    one without them would replace a working upstream by one that no task can be placed
+    on.
 
     Attributes:
         born: Milliseconds since 1970 at the start of the worker's process.
@@ -118,24 +122,24 @@
     address: str
     zone: str
     state: WireState
-    sequence: Amount
+    sequence: NonNegativeInt
     capacity: WireCapacity
-    clock_ms: Amount
+    clock_ms: NonNegativeInt
     labels: list[str] = []
-    born: Amount = 0
+    born: NonNegativeInt = 0
 
 
-_config = msgspec.json.Decoder(WireConfig)
-_job = msgspec.json.Decoder(WireJob)
-_departure = msgspec.json.Decoder(WireDeparture)
-_heartbeat = msgspec.json.Decoder(WireHeartbeat)
+_config_decoder = msgspec.json.Decoder(WireConfig)
+_job_decoder = msgspec.json.Decoder(WireJob)
+_departure_decoder = msgspec.json.Decoder(WireDeparture)
+_heartbeat_decoder = msgspec.json.Decoder(WireHeartbeat)
 
 
-def decode(decoder: msgspec.json.Decoder, body: bytes) -> Any:
+def decode_document(decoder: msgspec.json.Decoder, body: bytes) -> Any:
     """Return the document in a body.
 
     Raises:
-        ValueError: It is malformed, or nested too deep to be read.
+        ValueError: It is malformed, or nested too deeply to be decoded.
     """
     try:
         return decoder.decode(body)
@@ -144,12 +148,12 @@
 
 
 def decode_queues(content: bytes) -> QueueTable:
-    """Return the queues of a configuration.
+    """Return the queues that a configuration defines.
 
     Raises:
         ValueError: It is malformed.
     """
-    config = decode(_config, content)
+    config = decode_document(_config_decoder, content)
     queues = tuple(
         JobQueue(
             name=route.name,
@@ -167,19 +171,19 @@
 
 
 def decode_job(job_id: str, body: bytes) -> JobSpec:
-    """Return the job in a request's body.
+    """Return the job in the body of a caller's request.
 
     Raises:
         ValueError: It is malformed.
     """
-    job = decode(_job, body)
+    job = decode_document(_job_decoder, body)
     if not job.steps:
         raise ValueError("the job has no steps")
-    if sum(step.count for step in job.steps) > MOST_TASKS:
-        raise ValueError(f"more than {MOST_TASKS} tasks")
+    if sum(step.count for step in job.steps) > MAX_TASKS_PER_JOB:
+        raise ValueError(f"more than {MAX_TASKS_PER_JOB} tasks")
     steps = tuple(decode_step(index, step) for index, step in enumerate(job.steps))
     return JobSpec(
-        JobId(job_id), job.spec, steps, not job.best_effort, unsupported(job)
+        JobId(job_id), job.spec, steps, not job.best_effort, unsupported_properties(job)
     )
 
 
@@ -187,7 +191,8 @@
     """Return one step of a job.
 
     Raises:
-        ValueError: A number is out of range.
+        ValueError: A number is out of range, or the step waits for one that does not
+            precede it.
     """
     if step.count < 1 or min(step.cpu, step.mem_mb, step.gpu) < 0:
         raise ValueError(f"step {index} has a number out of range")
@@ -203,8 +208,8 @@
     )
 
 
-def unsupported(job: WireJob) -> tuple[str, ...]:
-    """Return the names of properties that the dispatcher cannot honour."""
+def unsupported_properties(job: WireJob) -> tuple[str, ...]:
+    """Return the names of requested properties that the dispatcher does not support."""
     names = []
     if job.long_running or any(step.long_running for step in job.steps):
         names.append("long_running")
@@ -217,12 +222,12 @@
 
 
 def decode_report(upstream: str, body: bytes) -> UpstreamReport:
-    """Return a worker's report of itself.
+    """Return the report in a worker's heartbeat.
 
     Raises:
         ValueError: It is malformed.
     """
-    beat = decode(_heartbeat, body)
+    beat = decode_document(_heartbeat_decoder, body)
     if not upstream or not beat.service:
         raise ValueError("it names no worker")
     if not is_address(beat.address):
@@ -243,10 +248,12 @@
 
 
 def decode_departure(upstream: str, body: bytes) -> LifeKey:
-    """Return the life of a worker that ends; of one that says nothing only the id.
+    """Return the id and incarnation of a worker that stops as planned.
+
+    With an empty body the incarnation is 0, which means unknown.
 
     Raises:
-        ValueError: What it says is malformed.
+        ValueError: The body is malformed.
     """
-    departure = decode(_departure, body) if body else WireDeparture()
+    departure = decode_document(_departure_decoder, body) if body else WireDeparture()
     return LifeKey(UpstreamId(upstream), Incarnation(departure.born))
--- a/bergamotcourse/platform/machine.py
+++ b/bergamotcourse/platform/machine.py
@@ -1,4 +1,4 @@
-"""What the platform tells every process on a machine; both roles build on it."""
+"""The part of the platform's adapter that both roles share."""
 
 import os
 
@@ -10,27 +10,35 @@
 from bergamotcourse.state.node_settings import NodeSettings
 
 SETTINGS_VARIABLE = "BERGAMOTCOURSE_CONFIG"
-DEFAULT_SETTINGS = "/etc/bergamotcourse/node.conf"
+DEFAULT_SETTINGS_PATH = "/etc/bergamotcourse/node.conf"
 
 
 class Machine:
-    """A machine of the platform, known by its settings file; implements ``Platform``.
+    """The platform's adapter on one machine; implements ``Platform``.
 
     Attributes:
-        path: Of the settings file.
+        path: Path of the settings file.
     """
 
     def __init__(self):
-        self.path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS)
+        self.path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
 
     def settings(self) -> NodeSettings:
-        """Read the settings anew."""
+        """Read the settings file.
+
+        Raises:
+            BergamotcourseError: The file cannot be read, or has faults.
+        """
         return read_settings(self.path)
 
     def store(self, settings: NodeSettings, log: EventLog) -> Store:
-        """Return a client of the store."""
+        """Return a client of the platform's store."""
         return Store(settings.store, log)
 
     def decode_queues(self, content: bytes) -> QueueTable:
-        """Decode a configuration."""
+        """Return the queues that a configuration defines.
+
+        Raises:
+            ValueError: It is malformed.
+        """
         return decode_queues(content)
--- a/bergamotcourse/platform/reports.py
+++ b/bergamotcourse/platform/reports.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of an agent: workers' reports of themselves."""
+"""The HTTP interface of an agent: workers' heartbeats and departure notices."""
 
 from collections.abc import Callable
 from urllib.parse import urlsplit
@@ -13,18 +13,19 @@
 from bergamotcourse.transport.http_json import json_answer
 from bergamotcourse.transport.http_problem import plain_problem
 
-REPORT_PATH = "/bergamotcourse/Instances.Heartbeat/"
-LEAVE_PATH = "/bergamotcourse/Instances.Deregister/"
+HEARTBEAT_PATH = "/bergamotcourse/Instances.Heartbeat/"
+DEREGISTER_PATH = "/bergamotcourse/Instances.Deregister/"
 
 
-class ReportsFront:
-    """Takes workers' reports of themselves.
+class WorkerReportHandler:
+    """Handles workers' heartbeats and departure notices.
 
     Attributes:
-        on_change: Called after a report was taken.
-        read_service: Returns the service that this machine's worker is of now; empty
-            where the platform does not tell.
-        service: As read last.
+        on_change: Called after a heartbeat that changed the worker's incarnation, the
+            reason for refusing tasks, or the capacity.
+        read_service: Returns the current service of this machine's worker; empty if
+            the platform does not specify it.
+        service: The service that was read last.
     """
 
     def __init__(
@@ -41,55 +42,62 @@
         self.service = read_service()
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Return the response to one request."""
         path = urlsplit(request.target).path
         if request.method != "POST":
             return plain_problem(405, "only POST is served")
-        if path.startswith(REPORT_PATH):
-            return self._report(path.removeprefix(REPORT_PATH), request.body)
-        if path.startswith(LEAVE_PATH):
-            return self._leave(path.removeprefix(LEAVE_PATH), request.body)
+        if path.startswith(HEARTBEAT_PATH):
+            return self._handle_report(path.removeprefix(HEARTBEAT_PATH), request.body)
+        if path.startswith(DEREGISTER_PATH):
+            return self._handle_departure(
+                path.removeprefix(DEREGISTER_PATH), request.body
+            )
         return plain_problem(404, "no such call")
 
-    def _report(self, upstream: str, body: bytes) -> HttpResponse:
+    def _handle_report(self, upstream: str, body: bytes) -> HttpResponse:
         try:
             report = decode_report(upstream, body)
             self._check_service(report)
         except ValueError as error:
             self.log.write("report.skipped", upstream=upstream, why=str(error))
             return plain_problem(400, f"malformed report: {error}")
-        before = self._known()
+        before = self._reported_state()
         self.executor.handle_upstream_report(report)
-        if self._known() != before:
+        if self._reported_state() != before:
             self.on_change()
         return json_answer({})
 
-    def _leave(self, upstream: str, body: bytes) -> HttpResponse:
+    def _handle_departure(self, upstream: str, body: bytes) -> HttpResponse:
         try:
             life = decode_departure(upstream, body)
         except ValueError as error:
-            # It ends all the same, and tells nobody else.
+            # The worker stops in any case, and notifies no other process.
             self.log.write("departure.malformed", upstream=upstream, why=str(error))
             life = decode_departure(upstream, b"")
         self.executor.handle_upstream_departure(life)
         return json_answer({})
 
-    def _known(self) -> tuple[LifeKey | None, str | None, Resources]:
-        """Return what others are told: the life here, what is refused, the capacity."""
+    def _reported_state(self) -> tuple[LifeKey | None, str | None, Resources]:
+        """Return the state that ``on_change`` reports.
+
+        It consists of the worker's id and incarnation, the reason for refusing tasks,
+        and the capacity.
+        """
         executor = self.executor
         life = executor.life.report.life if executor.life else None
         return life, executor.refusal(), executor.capacity()
 
     def _check_service(self, report: UpstreamReport) -> None:
-        """Refuse the report of a service that is not this machine's.
+        """Check that a report is of this machine's service.
 
-        Taken, it would end the life of the worker that is here, and all its runs.
+        A report of another service, if accepted, would replace the worker on this
+        machine and end all its runs.
 
         Raises:
-            ValueError: It is of another service.
+            ValueError: The report is of another service.
         """
         if self.service and report.service != self.service:
-            # The machine may have moved to another service since.
+            # The machine may have been assigned to another service since.
             self.service = self.read_service()
         if self.service and report.service != self.service:
             raise ValueError(f"the worker here is not of service {report.service!r}")
--- a/bergamotcourse/platform/store.py
+++ b/bergamotcourse/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: the calls that the job dispatcher needs."""
+"""Client of the platform's store, with the calls that the job dispatcher needs."""
 
 import base64
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 from bergamotcourse.coordination.event_log import EventLog
 from bergamotcourse.errors import Step, StepError
 from bergamotcourse.ids import LinkAddress, ZoneName
-from bergamotcourse.platform.documents import decode
+from bergamotcourse.platform.documents import decode_document
 from bergamotcourse.platform.settings_file import is_address
 from bergamotcourse.protocol.job_store import ConfigRead, HistoryGoneError
 from bergamotcourse.protocol.upstream_orders import UpstreamReport
@@ -28,23 +28,26 @@
 UPSTREAM_TABLE = "upstreams"
 HISTORY_GONE_STATUS = 410
 
-CONNECTIONS = 4
-"""At most: one for each part of a process that calls the store."""
+MAX_CONNECTIONS = 4
+"""One for each component of a process that calls the store."""
 
-AFTER_KEY = "!"
-"""Ends a range that has one key: sorts before all that stands in an address."""
+SINGLE_KEY_RANGE_SUFFIX = "!"
+"""Appended to a key, gives the exclusive end of a range that has only that key.
 
-MOST_KEY = 80
-"""Bytes of an unreadable row that are logged, to find it by."""
+It sorts before all characters of an address, so no longer key falls into the range.
+"""
 
-MOST_SKIPPED = 1000
-"""Rows that are told of once; beyond it some are told of again."""
+MAX_LOGGED_ROW_BYTES = 80
+"""Bytes of an undecodable row that are logged, so that it can be found."""
+
+MAX_REMEMBERED_SKIPPED_ROWS = 1000
+"""Rows remembered so that each is logged once; above it some are logged again."""
 
 JSON = ("content-type", "application/json")
 
 
 class WireRow(msgspec.Struct):
-    """A row; ``value`` is base64, and ``deleted`` marks a dropped one."""
+    """A row; ``value`` is in base64, and ``deleted`` marks a row that was removed."""
 
     key: str
     ver: int = 0
@@ -55,8 +58,8 @@
 class WireRows(msgspec.Struct):
     """The answer to a read; ``ver`` is the store's newest version.
 
-    Rows are decoded one by one: others write to the store too, and what cannot be read
-    of one row must not hide the rest.
+    Rows are decoded one by one: other programs write to the store too, and a malformed
+    row must not hide the others.
     """
 
     ver: int
@@ -64,112 +67,132 @@
 
 
 @dataclass(frozen=True)
-class Rows:
-    """The rows of a read that can be decoded."""
+class DecodedRows:
+    """The rows of an answer that could be decoded.
+
+    Attributes:
+        version: The store's newest version.
+    """
 
     version: int
     rows: list[WireRow]
 
 
-_report = msgspec.msgpack.Decoder(UpstreamReport)
-_rows = msgspec.json.Decoder(WireRows)
-_row = msgspec.json.Decoder(WireRow)
+_report_decoder = msgspec.msgpack.Decoder(UpstreamReport)
+_rows_decoder = msgspec.json.Decoder(WireRows)
+_row_decoder = msgspec.json.Decoder(WireRow)
 
 
 class Store:
-    """Calls to the store, each with a timeout; none is repeated here.
+    """Calls to the store, each with a timeout in seconds; implements ``JobStore``.
+
+    Failed calls are not retried here.
 
     Attributes:
-        skipped: Rows that cannot be read and were logged: table, key, version.
+        logged_skipped_rows: Table, key and version of rows that could not be decoded
+            and were logged.
     """
 
     def __init__(
-        self, where: Endpoint, log: EventLog, connect: Connect = trio.open_tcp_stream
+        self, endpoint: Endpoint, log: EventLog, connect: Connect = trio.open_tcp_stream
     ):
         self.client = HttpClient(
-            where.host, where.port, CONNECTIONS, connect=connect, doubts_idle=True
+            endpoint.host,
+            endpoint.port,
+            MAX_CONNECTIONS,
+            connect=connect,
+            doubts_idle=True,
         )
         self.log = log
-        self.skipped: set[tuple[str, str, int]] = set()
+        self.logged_skipped_rows: set[tuple[str, str, int]] = set()
 
     async def read_config(self, timeout: float) -> Result[ConfigRead, StepError]:
-        """Return the configuration, and all zones that are evacuated."""
-        rows = await self._read(OPERATOR_TABLE, timeout)
-        return rows.map(lambda read: self._config_in(read, is_snapshot=True))
+        """Return the configuration and all evacuated zones."""
+        rows = await self._read_table(OPERATOR_TABLE, timeout)
+        return rows.map(lambda read: self._config_from_rows(read, is_snapshot=True))
 
     async def wait_for_config_changes(
         self, after: int, wait: float, timeout: float
     ) -> Result[ConfigRead, StepError]:
-        """Return what of these changes within ``wait`` seconds."""
+        """Return changes of the configuration and of evacuations since a version.
+
+        Args:
+            after: The version after which changes are returned.
+            wait: Seconds for which the store waits for a change.
+            timeout: Seconds until the call fails.
+
+        The error is a ``HistoryGoneError`` if the store no longer has all changes
+        since that version.
+        """
         fields = {"table": OPERATOR_TABLE, "after": after, "wait_ms": int(wait * 1000)}
         target = f"/bergamotcourse/rows-feed?{urlencode(fields)}"
-        rows = await self._get(OPERATOR_TABLE, target, timeout)
-        return rows.map(lambda read: self._config_in(read, is_snapshot=False))
+        rows = await self._get_rows(OPERATOR_TABLE, target, timeout)
+        return rows.map(lambda read: self._config_from_rows(read, is_snapshot=False))
 
     async def put_entry(
         self, address: LinkAddress, timeout: float
     ) -> Result[None, StepError]:
-        """Make an entry known."""
-        return await self._put(ENTRY_TABLE, address, b"", timeout)
+        """Register an entry."""
+        return await self._put_row(ENTRY_TABLE, address, b"", timeout)
 
     async def remove_entry(
         self, address: LinkAddress, timeout: float
     ) -> Result[None, StepError]:
-        """Withdraw an entry."""
+        """Remove the registration of an entry."""
         row = {"table": ENTRY_TABLE, "part": "", "key": address}
         return await self._transact({"remove": [row]}, timeout)
 
     async def read_entries(
         self, timeout: float
     ) -> Result[list[LinkAddress], StepError]:
-        """Return the entries that have made themselves known."""
-        rows = await self._read(ENTRY_TABLE, timeout)
-        return rows.map(self._entries_in)
+        """Return the registered entries."""
+        rows = await self._read_table(ENTRY_TABLE, timeout)
+        return rows.map(self._entries_from_rows)
 
     async def put_upstream(
         self, agent: LinkAddress, report: UpstreamReport, timeout: float
     ) -> Result[None, StepError]:
-        """Keep the report of an upstream for the next process of its agent."""
+        """Store the report of an upstream for the agent's next process."""
         value = msgspec.msgpack.encode(report)
-        return await self._put(UPSTREAM_TABLE, agent, value, timeout)
+        return await self._put_row(UPSTREAM_TABLE, agent, value, timeout)
 
     async def read_upstreams(
         self, timeout: float
     ) -> Result[dict[LinkAddress, UpstreamReport], StepError]:
-        """Return the upstreams by agent, as last reported."""
-        rows = await self._read(UPSTREAM_TABLE, timeout)
-        return rows.map(self._upstreams_in)
+        """Return the last stored report of each upstream, by agent."""
+        rows = await self._read_table(UPSTREAM_TABLE, timeout)
+        return rows.map(self._upstreams_from_rows)
 
     async def read_upstream(
         self, agent: LinkAddress, timeout: float
     ) -> Result[UpstreamReport | None, StepError]:
-        """Return the upstream of one agent, as last reported."""
-        rows = await self._read(UPSTREAM_TABLE, timeout, only=agent)
-        return rows.map(lambda read: self._upstreams_in(read).get(agent))
+        """Return the last stored report of one agent's upstream."""
+        rows = await self._read_table(UPSTREAM_TABLE, timeout, only_key=agent)
+        return rows.map(lambda read: self._upstreams_from_rows(read).get(agent))
 
     async def aclose(self) -> None:
         """Close the connections."""
         await self.client.aclose()
 
-    async def _put(
+    async def _put_row(
         self, table: str, key: str, value: bytes, timeout: float
     ) -> Result[None, StepError]:
         row = {"table": table, "part": "", "key": key}
         row["value"] = base64.b64encode(value).decode()
         return await self._transact({"put": [row]}, timeout)
 
-    async def _read(
-        self, table: str, timeout: float, only: str = ""
-    ) -> Result[Rows, StepError]:
+    async def _read_table(
+        self, table: str, timeout: float, only_key: str = ""
+    ) -> Result[DecodedRows, StepError]:
         fields = {"table": table, "part": ""}
-        if only:
-            fields |= {"from": only, "to": only + AFTER_KEY}
+        if only_key:
+            fields |= {"from": only_key, "to": only_key + SINGLE_KEY_RANGE_SUFFIX}
         query = urlencode(fields)
-        return await self._get(table, f"/bergamotcourse/rows-get?{query}", timeout)
+        return await self._get_rows(table, f"/bergamotcourse/rows-get?{query}", timeout)
 
-    async def _get(
+    async def _get_rows(
         self, table: str, target: str, timeout: float
-    ) -> Result[Rows, StepError]:
+    ) -> Result[DecodedRows, StepError]:
         answer = await self.client.request(HttpRequest("GET", target), timeout)
         if answer.is_error():
             return answer
@@ -178,77 +201,83 @@
                 HistoryGoneError(Step.STORE, self.client.peer, "history is gone")
             )
         if answer.ok.status != 200:
-            return self._refused(answer.ok.status)
+            return self._status_error(answer.ok.status)
         try:
-            read = decode(_rows, answer.ok.body)
+            read = decode_document(_rows_decoder, answer.ok.body)
         except ValueError as error:
             return Error(StepError(Step.DECODE, self.client.peer, str(error)))
-        return Ok(Rows(read.ver, self._decode_rows(table, read.rows)))
+        return Ok(DecodedRows(read.ver, self._decode_rows(table, read.rows)))
 
     def _decode_rows(self, table: str, raw: list[msgspec.Raw]) -> list[WireRow]:
         rows = []
         for one in raw:
             try:
-                rows.append(decode(_row, one))
+                rows.append(decode_document(_row_decoder, one))
             except ValueError as error:
-                self._skip(
-                    table, WireRow(bytes(one)[:MOST_KEY].decode("latin-1")), error
+                self._log_skipped_row(
+                    table,
+                    WireRow(bytes(one)[:MAX_LOGGED_ROW_BYTES].decode("latin-1")),
+                    error,
                 )
         return rows
 
-    def _skip(self, table: str, row: WireRow, error: Exception) -> None:
-        """Tell once of a row that cannot be read."""
+    def _log_skipped_row(self, table: str, row: WireRow, error: Exception) -> None:
+        """Log a row that cannot be decoded, once for each version of it."""
         known = (table, row.key, row.ver)
-        if known in self.skipped:
+        if known in self.logged_skipped_rows:
             return
-        if len(self.skipped) >= MOST_SKIPPED:
-            self.skipped.clear()
-        self.skipped.add(known)
+        if len(self.logged_skipped_rows) >= MAX_REMEMBERED_SKIPPED_ROWS:
+            self.logged_skipped_rows.clear()
+        self.logged_skipped_rows.add(known)
         self.log.write("store.row_skipped", table=table, key=row.key, why=str(error))
 
-    def _config_in(self, read: Rows, is_snapshot: bool) -> ConfigRead:
-        """Return what the rows of the operator's table ask for."""
+    def _config_from_rows(self, read: DecodedRows, is_snapshot: bool) -> ConfigRead:
+        """Return the configuration and zone changes in rows of the operator's table."""
         return ConfigRead(
             read.version,
-            self._content_in(read),
-            zone_changes_in(read),
+            self._latest_config_content(read),
+            zone_changes_from_rows(read),
             is_snapshot,
             sum(row.key == CONFIG_KEY for row in read.rows),
         )
 
-    def _content_in(self, read: Rows) -> bytes | None:
-        """Return the last configuration among the rows of the operator's table.
+    def _latest_config_content(self, read: DecodedRows) -> bytes | None:
+        """Return the last configuration in rows of the operator's table.
 
-        The store tells each change of a row since a position, not only the last.
+        The store's feed has each change of a row since a version, not only the last.
         """
         for row in reversed(read.rows):
             if row.key == CONFIG_KEY and not row.deleted:
                 try:
                     return base64.b64decode(row.value, validate=True)
                 except ValueError as error:
-                    self._skip(OPERATOR_TABLE, row, error)
+                    self._log_skipped_row(OPERATOR_TABLE, row, error)
         return None
 
-    def _entries_in(self, read: Rows) -> list[LinkAddress]:
-        """Return the entries that the rows name."""
+    def _entries_from_rows(self, read: DecodedRows) -> list[LinkAddress]:
+        """Return the entries whose addresses are the keys of the rows."""
         entries = []
         for row in read.rows:
             try:
-                entries.append(link_address_in(row.key))
+                entries.append(parse_link_address(row.key))
             except ValueError as error:
-                self._skip(ENTRY_TABLE, row, error)
+                self._log_skipped_row(ENTRY_TABLE, row, error)
         return entries
 
-    def _upstreams_in(self, read: Rows) -> dict[LinkAddress, UpstreamReport]:
-        """Return the reports in the rows, by agent."""
+    def _upstreams_from_rows(
+        self, read: DecodedRows
+    ) -> dict[LinkAddress, UpstreamReport]:
+        """Return the upstreams' reports in the rows, by agent."""
         reports = {}
         for row in read.rows:
             try:
                 value = base64.b64decode(row.value, validate=True)
-                reports[link_address_in(row.key)] = check_report(_report.decode(value))
+                reports[parse_link_address(row.key)] = check_report_address(
+                    _report_decoder.decode(value)
+                )
             except ValueError as error:
-                # The upstream's own report comes within 2 s.
-                self._skip(UPSTREAM_TABLE, row, error)
+                # Skipping is safe: the upstream itself reports within 2 s.
+                self._log_skipped_row(UPSTREAM_TABLE, row, error)
         return reports
 
     async def _transact(self, body: dict, timeout: float) -> Result[None, StepError]:
@@ -259,17 +288,17 @@
         if answer.is_error():
             return answer
         if answer.ok.status != 200:
-            return self._refused(answer.ok.status)
+            return self._status_error(answer.ok.status)
         return Ok(None)
 
-    def _refused(self, status: int) -> Result:
+    def _status_error(self, status: int) -> Result:
         return Error(StepError(Step.STORE, self.client.peer, f"status {status}"))
 
 
-def zone_changes_in(read: Rows) -> tuple[ZoneChange, ...]:
-    """Return the zones that rows of the operator's table evacuate or take back.
+def zone_changes_from_rows(read: DecodedRows) -> tuple[ZoneChange, ...]:
+    """Return the starts and ends of evacuations in rows of the operator's table.
 
-    The key tells all: a row whose value cannot be read evacuates its zone, too.
+    Only the key matters: a row with an undecodable value evacuates its zone, too.
     """
     changes = []
     for row in read.rows:
@@ -280,22 +309,23 @@
     return tuple(changes)
 
 
-def link_address_in(key: str) -> LinkAddress:
-    """Return the address of a process that a row's key is.
+def parse_link_address(key: str) -> LinkAddress:
+    """Return the link address of the process that a row's key denotes.
 
     Raises:
-        ValueError: It is none; a greeting to it would be tried again and again.
+        ValueError: The key is not a link address; contact with it would be
+            attempted again and again.
     """
     if not key.startswith(SCHEME) or not is_address(key.removeprefix(SCHEME)):
-        raise ValueError("the key is no address of a process")
+        raise ValueError("the key is not the link address of a process")
     return LinkAddress(key)
 
 
-def check_report(report: UpstreamReport) -> UpstreamReport:
-    """Return a report that can be used.
+def check_report_address(report: UpstreamReport) -> UpstreamReport:
+    """Return the report if its address is valid.
 
     Raises:
-        ValueError: Its address is none.
+        ValueError: The address is not of the form ``IP:PORT``.
     """
     if not is_address(report.address):
         raise ValueError(f"not of the form IP:PORT: {report.address}")
--- a/bergamotcourse/platform/worker_orders.py
+++ b/bergamotcourse/platform/worker_orders.py
@@ -1,9 +1,9 @@
-"""The calls by which a worker takes orders; implements ``OrderPort``."""
+"""Client of the HTTP interface by which a worker receives orders."""
 
 import msgspec
 
 from bergamotcourse.ids import Incarnation
-from bergamotcourse.platform.settings_file import endpoint
+from bergamotcourse.platform.settings_file import parse_endpoint
 from bergamotcourse.protocol.upstream_orders import (
     EndedRun,
     EndKind,
@@ -22,18 +22,18 @@
 from bergamotcourse.transport.http_client import Greeting, HttpClient
 
 JSON = ("content-type", "application/json")
-BOOT_HEADER = "bergamotcourse-expected-instance"
+EXPECTED_INSTANCE_HEADER = "bergamotcourse-expected-instance"
 OTHER_BOOT_STATUS = 421
-UNREADABLE_STATUS = 502
+UNREADABLE_REPLY_STATUS = 502
 UNHEALTHY_STATUSES = (429, 503)
 
-VERDICTS = {
+VERDICT_BY_REASON = {
     "fence": StartVerdict.FENCED,
     "old": StartVerdict.STALE,
     "late": StartVerdict.TOO_LATE,
     "room": StartVerdict.NO_ROOM,
 }
-ENDS = {
+END_KIND_BY_NAME = {
     "done": EndKind.DONE,
     "failed": EndKind.FAILED,
     "stopped": EndKind.STOPPED,
@@ -42,15 +42,15 @@
     "alone": EndKind.STOPPED,
 }
 
-CONNECTIONS = 48
-"""Of the 64 that a worker takes, some may still be closing."""
+MAX_CONNECTIONS = 48
+"""Below the 64 that a worker accepts, as some may still be closing."""
 
 IDLE_SECONDS = 600.0
-"""New connections to a worker are priced, kept ones are not."""
+"""Long, because a new connection to a worker has a cost and a kept one has none."""
 
 
 class WireStart(msgspec.Struct):
-    """An order to start; ``until_ms`` is on the worker's clock."""
+    """An order to start a run; ``until_ms`` is on the worker's clock."""
 
     task: str
     run: int
@@ -60,7 +60,7 @@
 
 
 class WireStop(msgspec.Struct):
-    """An order to stop."""
+    """An order to stop a run."""
 
     task: str
     run: int
@@ -68,7 +68,7 @@
 
 
 class WireHold(msgspec.Struct, omit_defaults=True):
-    """A renewal of the lease; ``observed`` is the last end noted."""
+    """A lease renewal; ``observed`` is the last ended run that is acknowledged."""
 
     fencing_token: int
     observed: int = 0
@@ -77,16 +77,18 @@
 
 
 class WireReply(msgspec.Struct):
-    """The answer to an order."""
+    """The answer to an order to start a run, and to any order that is refused."""
 
     clock_ms: int | None = None
     reason: str = ""
 
 
 class WireHolding(msgspec.Struct):
-    """Rows of (task, run, saved, percent, ..) and of (number, task, run, how, ..).
+    """The worker's running and ended runs.
 
     Attributes:
+        running: Rows of (task, run, saved, percent, ..).
+        ended: Rows of (number, task, run, how, ..).
         born: Milliseconds since 1970 at the start of the worker's process.
     """
 
@@ -96,38 +98,42 @@
     born: int = 0
 
 
-_reply = msgspec.json.Decoder(WireReply)
-_holding = msgspec.json.Decoder(WireHolding)
+_reply_decoder = msgspec.json.Decoder(WireReply)
+_holding_decoder = msgspec.json.Decoder(WireHolding)
 
 
 class WorkerOrders:
-    """Gives orders to one life of one worker.
+    """Sends orders to one incarnation of one worker; implements ``OrderPort``.
 
-    The worker itself refuses what is meant for another id, but not what is meant for a
-    former life under its id. So each connection is used only once the process at its
-    other end has told that it is the life that is meant.
+    The worker itself refuses orders to another id, but not orders to a former
+    incarnation under its id. So a connection is used only after the process at its
+    other end has confirmed that it is the addressed incarnation.
     """
 
     def __init__(self, life: LifeKey, address: str, token: int):
-        where = endpoint(address)
+        worker = parse_endpoint(address)
         self.life = life
-        self.headers = [JSON, (BOOT_HEADER, life.upstream)]
+        self.headers = [JSON, (EXPECTED_INSTANCE_HEADER, life.upstream)]
         self.token = token
         self.client = HttpClient(
-            where.host,
-            where.port,
-            connections=CONNECTIONS,
+            worker.host,
+            worker.port,
+            connections=MAX_CONNECTIONS,
             idle_seconds=IDLE_SECONDS,
-            greeting=self._greeting() if life.incarnation else None,
+            greeting=self._incarnation_check() if life.incarnation else None,
         )
 
     @classmethod
     def connect(cls, report: UpstreamReport, token: int) -> "WorkerOrders":
-        """Return the port to a worker that has reported itself."""
+        """Return the port to the worker that sent a report."""
         return cls(report.life, report.address, token)
 
     async def start(self, order: StartOrder, timeout: float) -> StartReply:
-        """Order a run to start."""
+        """Order the worker to start a run.
+
+        The verdict is ``UNKNOWN`` if the call failed or took longer than ``timeout``
+        seconds.
+        """
         body = WireStart(
             order.key.task,
             order.key.number,
@@ -138,10 +144,13 @@
         response = await self._call("run-start", body, timeout)
         if response is None:
             return StartReply(StartVerdict.UNKNOWN)
-        return StartReply(verdict_of(response), decode_reply(response).clock)
+        return StartReply(decode_verdict(response), decode_reply(response).clock)
 
     async def stop(self, key: RunKey, timeout: float) -> bool:
-        """Order a run to stop, or bar it; true once the worker said so."""
+        """Order the worker to stop a run, or to bar it if it has not started.
+
+        Returns whether the worker confirmed the order within ``timeout`` seconds.
+        """
         body = WireStop(key.task, key.number, self.token)
         response = await self._call("run-stop", body, timeout)
         return response is not None and response.status == 200
@@ -149,7 +158,17 @@
     async def hold(
         self, noted: int, until: float | None, wait: float, timeout: float
     ) -> Holding | HoldFailure:
-        """Note ends, renew the lease, and wait for an end."""
+        """Acknowledge ended runs, renew the lease, and wait for a run to end.
+
+        Args:
+            noted: The number of the last ended run that is acknowledged.
+            until: When the lease expires, on the worker's clock in seconds; ``None``
+                does not renew it.
+            wait: Seconds for which the worker waits for a run to end.
+            timeout: Seconds until the call fails.
+
+        Returns the worker's running and ended runs, or why the call failed.
+        """
         until_ms = None if until is None else int(until * 1000)
         body = WireHold(self.token, noted, until_ms, int(wait * 1000) or None)
         response = await self._call("hold", body, timeout)
@@ -180,40 +199,48 @@
             msgspec.json.encode(body),
         )
 
-    def _greeting(self) -> Greeting:
-        """Return a look at what runs, which tells the life that answers."""
-        return Greeting(self._request("hold", WireHold(self.token)), self._refusal)
+    def _incarnation_check(self) -> Greeting:
+        """Return the request that checks the incarnation on each new connection.
 
-    def _refusal(self, response: HttpResponse) -> HttpResponse | None:
-        """Return a refusal unless an answer is of the life that is meant."""
+        It lists the worker's runs and renews no lease.
+        """
+        return Greeting(
+            self._request("hold", WireHold(self.token)), self._refuse_other_incarnation
+        )
+
+    def _refuse_other_incarnation(self, response: HttpResponse) -> HttpResponse | None:
+        """Return a refusal unless the addressed incarnation answered.
+
+        An answer without an incarnation is accepted.
+        """
         if response.status != 200:
             return response
         holding = decode_holding(response.body)
         if not isinstance(holding, Holding):
-            return HttpResponse(UNREADABLE_STATUS)
+            return HttpResponse(UNREADABLE_REPLY_STATUS)
         is_meant = holding.incarnation in (0, self.life.incarnation)
         return None if is_meant else HttpResponse(OTHER_BOOT_STATUS)
 
 
-class Reply(msgspec.Struct):
-    """A decoded reply; the clock in seconds."""
+class DecodedReply(msgspec.Struct):
+    """A decoded reply; ``clock`` is the worker's clock in seconds."""
 
     clock: float | None
     reason: str
 
 
-def decode_reply(response: HttpResponse) -> Reply:
-    """Return what a reply says; a body that is none says nothing."""
+def decode_reply(response: HttpResponse) -> DecodedReply:
+    """Return the clock and reason in a reply; none if the body cannot be decoded."""
     try:
-        wire = _reply.decode(response.body)
+        wire = _reply_decoder.decode(response.body)
     except msgspec.DecodeError:
-        return Reply(None, "")
+        return DecodedReply(None, "")
     clock = None if wire.clock_ms is None else wire.clock_ms / 1000
-    return Reply(clock, wire.reason)
+    return DecodedReply(clock, wire.reason)
 
 
-def verdict_of(response: HttpResponse) -> StartVerdict:
-    """Return the verdict that a status and a reason tell."""
+def decode_verdict(response: HttpResponse) -> StartVerdict:
+    """Return the verdict that the status and the reason of a response denote."""
     if response.status == 200:
         return StartVerdict.STARTED
     if response.status == OTHER_BOOT_STATUS:
@@ -221,20 +248,22 @@
     if response.status in UNHEALTHY_STATUSES:
         return StartVerdict.UNHEALTHY
     if response.status == 409:
-        return VERDICTS.get(decode_reply(response).reason, StartVerdict.INVALID)
+        return VERDICT_BY_REASON.get(
+            decode_reply(response).reason, StartVerdict.INVALID
+        )
     return StartVerdict.INVALID
 
 
 def decode_holding(body: bytes) -> Holding | HoldFailure:
-    """Return the holding in a body."""
+    """Return the runs in a body, or ``HoldFailure.REFUSED`` if it is malformed."""
     try:
-        wire = _holding.decode(body)
+        wire = _holding_decoder.decode(body)
         running = tuple(
             RunningRun(RunKey(TaskName(row[0]), row[1]), row[3] / 100)
             for row in wire.running
         )
         ended = tuple(
-            EndedRun(row[0], RunKey(TaskName(row[1]), row[2]), ENDS[row[3]])
+            EndedRun(row[0], RunKey(TaskName(row[1]), row[2]), END_KIND_BY_NAME[row[3]])
             for row in wire.ended
         )
     except (msgspec.DecodeError, LookupError, TypeError):
--- a/bergamotcourse/tests/platform/cluster.py
+++ b/bergamotcourse/tests/platform/cluster.py
@@ -1,4 +1,4 @@
-"""Entries and agents as real processes, with workers and a store on loopback."""
+"""A cluster of real entry and agent processes with stand-in workers and store."""
 
 import base64
 import json
@@ -17,24 +17,24 @@
 from bergamotcourse.bench.launcher import free_port
 from bergamotcourse.standins.order_upstream import OrderUpstream, Run
 from bergamotcourse.state.resources import Resources
-from bergamotcourse.tests.platform.standins import HttpWorker, Rows
+from bergamotcourse.tests.platform.standins import HttpWorker, StoreStandIn
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 from bergamotcourse.transport.http_client import HttpClient
 from bergamotcourse.transport.http_server import HttpServer
 
-HOME = "127.0.0.1"
+LOOPBACK_HOST = "127.0.0.1"
 CAPACITY = Resources(32000, 65536, 0)
 TASK_CPU = 3100
 TASK_MEM_MB = 64
 REPORT_SECONDS = 0.3
-CALLER_MS = 20000
-CALL_SECONDS = 25.0
+CALLER_DEADLINE_MS = 20000
+CALL_TIMEOUT_SECONDS = 25.0
 
-START_SECONDS = 120.0
-"""Bound of a start, which takes two seconds on a free machine."""
+START_TIMEOUT_SECONDS = 120.0
+"""A start takes two seconds on an idle machine."""
 
-CLAIM_PORT = 9465
-"""Whoever listens on it at a net's last address has the net."""
+NET_CLAIM_PORT = 9465
+"""The cluster that listens on it at a network's last address owns the network."""
 
 
 def make_route(name="r-1", prefix="/a/"):
@@ -49,8 +49,11 @@
     }
 
 
-def make_job(number, work, tasks=3, prefix="/a/", caller_ms=CALLER_MS):
-    """Return the request that hands a job in; the spec tells the seconds of work."""
+def make_job(number, work, tasks=3, prefix="/a/", caller_ms=CALLER_DEADLINE_MS):
+    """Return the request that submits a job.
+
+    The stand-in workers read the seconds of work of each task from the job's spec.
+    """
     step = {
         "count": tasks,
         "cpu": TASK_CPU,
@@ -66,18 +69,18 @@
     return HttpRequest("POST", target, headers, msgspec.json.encode(body))
 
 
-def work_of(payload):
+def parse_work(payload):
     return Resources(TASK_CPU, TASK_MEM_MB, 0), float(payload)
 
 
 @dataclass
 class Node:
-    """One process of ours.
+    """One entry or agent process, which may be started several times.
 
     Attributes:
-        addresses: Where it listens, by purpose.
-        store: The store's address, as this process knows it.
-        zone: Where it is.
+        addresses: The addresses it listens on, by purpose.
+        store: The store's address in its settings.
+        zone: The availability zone in its settings.
     """
 
     name: str
@@ -85,50 +88,51 @@
     host: str
     log: Path
     addresses: dict[str, tuple[str, int]]
-    store: tuple[str, int] = (HOME, 0)
+    store: tuple[str, int] = (LOOPBACK_HOST, 0)
     zone: str = "north"
     process: subprocess.Popen | None = None
 
     def kill(self) -> None:
-        """End it at once, also if it is stopped."""
+        """Kill the process and wait for its end; works for a paused one too."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal, unless it has ended."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal unless the process has ended."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
-    async def until_ended(self) -> int:
-        """Return the exit code."""
+    async def wait_until_ended(self) -> int:
+        """Wait until the process has ended, and return its exit code."""
         while self.process.poll() is None:
             await trio.sleep(0.02)
         return self.process.returncode
 
     def events(self) -> list[dict]:
-        """Return what it has logged, in all its lives."""
+        """Return the events that it has logged since its first start."""
         if not self.log.exists():
             return []
-        # The last line may be half written.
+        # The last line may be incomplete.
         lines = self.log.read_text().split("\n")[:-1]
         return [json.loads(line) for line in lines]
 
-    async def until_told(self, kind: str) -> None:
-        """Return once it has logged an event of a kind."""
+    async def wait_for_log_event(self, kind: str) -> None:
+        """Wait until it has logged an event of a kind."""
         while not any(event["event"] == kind for event in self.events()):
             await trio.sleep(0.02)
 
 
 @dataclass
 class Cluster:
-    """The processes, and what surrounds them.
+    """The processes, the store and the workers.
 
     Attributes:
-        net: The first three numbers of the addresses, claimed for this cluster alone.
-        claim: Holds ``net`` for as long as the cluster lives.
+        net: The first three numbers of the addresses, which no other cluster uses.
+        claim: The listening socket that reserves ``net`` until it is closed.
         history: All runs on all workers.
-        zones: Over which the processes of a role are dealt out.
+        zones: The zones among which the processes of each role are distributed.
+        life_count: The incarnations of workers created so far.
     """
 
     folder: Path
@@ -136,29 +140,30 @@
     zones: tuple[str, ...] = ("north",)
     net: str = ""
     claim: socket.socket | None = None
-    rows: Rows = field(default_factory=Rows)
+    rows: StoreStandIn = field(default_factory=StoreStandIn)
     history: list[Run] = field(default_factory=list)
     nodes: dict[str, Node] = field(default_factory=dict)
     workers: dict[str, HttpWorker] = field(default_factory=dict)
     version: int = 0
     routes: list[dict] = field(default_factory=list)
-    lives: int = 0
+    life_count: int = 0
 
     async def start(self, entries: int = 1, agents: int = 1) -> None:
-        """Start all, and return once the entries are ready.
+        """Start all processes, and return once the entries are ready.
 
         Raises:
-            trio.TooSlowError: They are not in time; the folder has their logs.
+            trio.TooSlowError: They are not ready within ``START_TIMEOUT_SECONDS``; the
+                folder has their logs.
         """
-        with trio.fail_after(START_SECONDS):
+        with trio.fail_after(START_TIMEOUT_SECONDS):
             await self._start(entries, agents)
 
     async def _start(self, entries: int, agents: int) -> None:
         self.claim, self.net = claim_net()
         self.configure([make_route()])
         store = await self.serve(self.rows.handle)
-        link = free_port(HOME)
-        control = free_port(HOME)
+        link = free_port(LOOPBACK_HOST)
+        control = free_port(LOOPBACK_HOST)
         for number in range(1, entries + agents + 1):
             host = f"{self.net}.{number}"
             if number <= entries:
@@ -166,19 +171,21 @@
             else:
                 name = f"agent-{number - entries}"
                 node = self.add_node(name, "agent", host, link, control)
-            node.store = await self.path_to(f"store of {node.name}", (HOME, store))
+            node.store = await self.expose_address(
+                f"store of {node.name}", (LOOPBACK_HOST, store)
+            )
             node.zone = self.zones[(int(node.name[-1]) - 1) % len(self.zones)]
         for node in self.nodes.values():
             if node.role == "agent":
                 await self.add_worker(node)
-            self.run(node)
+            self.start_process(node)
         for node in self.entries():
-            await self.until_ready(node)
+            await self.wait_until_ready(node)
         while not all(worker.upstream.token for worker in self.workers.values()):
             await trio.sleep(0.05)
 
     def add_node(self, name, role, host, link, control) -> Node:
-        """Note a process and where it is to listen."""
+        """Add a process and assign its addresses, without starting it."""
         addresses = {
             "link": (host, link),
             "control": (host, control),
@@ -190,40 +197,47 @@
         return self.nodes[name]
 
     async def add_worker(self, node: Node) -> None:
-        """Start the worker beside an agent."""
+        """Start the stand-in worker beside an agent."""
         worker = HttpWorker(self.make_upstream(), node.zone)
         self.workers[node.name] = worker
         port = await self.serve(worker.handle)
-        host, port = await self.path_to(f"worker of {node.name}", (HOME, port))
+        host, port = await self.expose_address(
+            f"worker of {node.name}", (LOOPBACK_HOST, port)
+        )
         worker.address = f"{host}:{port}"
-        control = await self.path_to(
+        control = await self.expose_address(
             f"reports to {node.name}", node.addresses["control"]
         )
         self.nursery.start_soon(worker.upstream.run)
-        self.nursery.start_soon(worker.report, *control, REPORT_SECONDS)
+        self.nursery.start_soon(worker.report_periodically, *control, REPORT_SECONDS)
 
     def make_upstream(
         self, clock_rate: float = 1.0, former: OrderUpstream | None = None
     ) -> OrderUpstream:
-        """Return a new life of a worker, under the id of a former one if given."""
-        self.lives += 1
+        """Return a new incarnation of a worker.
+
+        Args:
+            clock_rate: Rate of its clock relative to the real one.
+            former: The former incarnation, whose id it gets.
+        """
+        self.life_count += 1
         return OrderUpstream(
-            former.id if former else f"i-{self.lives}",
+            former.id if former else f"i-{self.life_count}",
             "votes",
             CAPACITY,
-            work_of,
+            parse_work,
             self.history,
             clock_rate,
-            incarnation=self.lives,
+            incarnation=self.life_count,
             clock_began=trio.current_time() if former else 0.0,
         )
 
-    async def path_to(self, _name, address) -> tuple[str, int]:
-        """Return where others reach an address."""
+    async def expose_address(self, _name, address) -> tuple[str, int]:
+        """Return the address at which other processes reach an address."""
         return address
 
     def configure(self, routes) -> None:
-        """Put a new configuration into the store."""
+        """Write a new version of the configuration to the store."""
         self.version += 1
         self.routes = routes
         config = {"version": self.version, "routes": routes}
@@ -231,27 +245,27 @@
         self.rows.transact({"put": [{"table": "op", "key": "config", "value": value}]})
 
     def evacuate(self, zone: str) -> None:
-        """Ask for nothing more to start in a zone."""
+        """Request the evacuation of a zone, in which no task may start from then on."""
         row = {"table": "op", "key": f"evacuate/{zone}", "value": "e30="}
         self.rows.transact({"put": [row]})
 
-    def take_back(self, zone: str) -> None:
-        """Let work start in a zone again."""
+    def end_evacuation(self, zone: str) -> None:
+        """Withdraw the request to evacuate a zone."""
         self.rows.transact({"remove": [{"table": "op", "key": f"evacuate/{zone}"}]})
 
-    def last_prefix(self) -> str:
-        """Return the path of the route added last."""
+    def newest_route_prefix(self) -> str:
+        """Return the path prefix of the last route in the configuration."""
         return self.routes[-1]["path_prefix"]
 
     async def serve(self, handler) -> int:
-        """Serve a stand-in, and return its port."""
-        server = HttpServer(HOME, 0, handler)
+        """Start a server for a stand-in, and return its port."""
+        server = HttpServer(LOOPBACK_HOST, 0, handler)
         self.nursery.start_soon(server.run)
         await server.wait_open()
         return server.port
 
-    def run(self, node: Node) -> None:
-        """Start a process, or start it anew."""
+    def start_process(self, node: Node) -> None:
+        """Start or restart a process."""
         settings = self.folder / f"{node.name}.conf"
         settings.write_text(self.settings_of(node))
         with open(node.log, "ab") as log:
@@ -263,7 +277,7 @@
             )
 
     def settings_of(self, node: Node) -> str:
-        """Return the settings file of a process."""
+        """Return the text of a process's settings file."""
         where = {name: f"{h}:{p}" for name, (h, p) in node.addresses.items()}
         seeds = ",".join(
             "{}:{}".format(*entry.addresses["control"]) for entry in self.entries()
@@ -285,19 +299,19 @@
         """Return the entries."""
         return [node for node in self.nodes.values() if node.role == "entry"]
 
-    async def until_ready(self, node: Node) -> None:
-        """Return once an entry wants callers."""
+    async def wait_until_ready(self, node: Node) -> None:
+        """Wait until an entry reports that it is ready for callers."""
         while not await self.is_ready(node):
             await trio.sleep(0.05)
 
     async def is_ready(self, node: Node) -> bool:
-        """Ask an entry whether it wants callers."""
+        """Return whether an entry reports that it is ready for callers."""
         request = HttpRequest("GET", "/bergamotcourse/ready")
-        answer = await ask(node.addresses["ready"], request, 1.0)
+        answer = await send_request(node.addresses["ready"], request, 1.0)
         return answer.is_ok() and answer.ok.status == 200
 
-    def end(self) -> None:
-        """End all processes, and give their addresses back."""
+    def shut_down(self) -> None:
+        """Kill all processes, and release the network."""
         for node in self.nodes.values():
             node.kill()
         if self.claim is not None:
@@ -305,17 +319,19 @@
 
 
 def claim_net() -> tuple[socket.socket, str]:
-    """Return a net of loopback addresses that no other cluster has, and what holds it.
+    """Reserve a loopback network that no other cluster uses.
+
+    All processes serve their metrics on one port: of two clusters with the same
+    addresses, as in concurrent runs of these tests, one would never start.
 
-    All processes listen on one port for their metrics: of two clusters with the same
-    addresses, as in two runs of these tests side by side, one would never start.
+    Returns the socket that reserves the network, and the network's first three numbers.
     """
     numbers = random.SystemRandom()
     while True:
         net = f"127.{numbers.randint(64, 250)}.{numbers.randint(0, 250)}"
         claim = socket.socket()
         try:
-            claim.bind((f"{net}.254", CLAIM_PORT))
+            claim.bind((f"{net}.254", NET_CLAIM_PORT))
         except OSError:
             claim.close()
             continue
@@ -323,8 +339,8 @@
         return claim, net
 
 
-async def ask(address, request, timeout=CALL_SECONDS):
-    """Send one request on a connection of its own."""
+async def send_request(address, request, timeout=CALL_TIMEOUT_SECONDS):
+    """Send one request on a separate connection."""
     client = HttpClient(*address)
     try:
         return await client.request(request, timeout)
@@ -333,6 +349,8 @@
             await client.aclose()
 
 
-async def submit(node: Node, number, work, tasks=3) -> HttpResponse:
-    """Hand a job in, and return the answer."""
-    return (await ask(node.addresses["front"], make_job(number, work, tasks))).ok
+async def submit_job(node: Node, number, work, tasks=3) -> HttpResponse:
+    """Submit a job, and return the response."""
+    return (
+        await send_request(node.addresses["front"], make_job(number, work, tasks))
+    ).ok
--- a/bergamotcourse/tests/platform/silenced_store.py
+++ b/bergamotcourse/tests/platform/silenced_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store whose open connections can go silent."""
+"""A stand-in for the platform's store whose open connections can go silent."""
 
 import trio
 from trio.testing import memory_stream_pair
@@ -6,12 +6,12 @@
 from bergamotcourse.coordination.event_log import EventLog
 from bergamotcourse.platform.store import Store
 from bergamotcourse.state.node_settings import Endpoint
-from bergamotcourse.tests.platform.standins import Rows
+from bergamotcourse.tests.platform.standins import StoreStandIn
 from bergamotcourse.transport.http_connection import ServerConnection, ServerLimits
 
 
 class SilencedStream(trio.abc.Stream):
-    """The client's end of a connection that may die without a sign."""
+    """The client's end of a connection that can stop transferring data unnoticed."""
 
     def __init__(self, stream: trio.abc.Stream):
         self.stream = stream
@@ -35,16 +35,16 @@
 
 
 class SilencedStore:
-    """Keeps rows, and serves them over connections in memory.
+    """Serves a store's rows over in-memory connections.
 
     Attributes:
-        opened: The connections that clients have opened.
-        unreachable: New connections get no answer either.
+        opened: The connections that clients have opened so far.
+        unreachable: New connections are never established.
     """
 
     def __init__(self, nursery: trio.Nursery):
         self.nursery = nursery
-        self.rows = Rows()
+        self.rows = StoreStandIn()
         self.opened: list[SilencedStream] = []
         self.unreachable = False
 
@@ -62,7 +62,7 @@
         self.opened.append(SilencedStream(near))
         return self.opened[-1]
 
-    def silence(self) -> None:
-        """Let all open connections go silent for good; new ones work."""
+    def silence_open_connections(self) -> None:
+        """Stop all data on the open connections for good; new ones work."""
         for stream in self.opened:
             stream.silent = True
--- a/bergamotcourse/tests/platform/soak/faults.py
+++ b/bergamotcourse/tests/platform/soak/faults.py
@@ -131,14 +131,14 @@
 
     async def _pause_node(self, node: Node, rng: random.Random) -> None:
         async with self._harm(node.name):
-            node.send(signal.SIGSTOP)
+            node.send_signal(signal.SIGSTOP)
             await trio.sleep(rng.uniform(*SECONDS))
-            node.send(signal.SIGCONT)
+            node.send_signal(signal.SIGCONT)
 
     async def _stop(self, rng: random.Random) -> None:
         async with self._hold(rng) as node:
             if node is not None:
-                node.send(signal.SIGTERM)
+                node.send_signal(signal.SIGTERM)
                 await self._see_stopped(node)
                 await self._restart(node, rng)
 
@@ -150,9 +150,9 @@
             for _ in range(rng.randint(2, 5)):
                 match rng.randrange(4):
                     case 0:
-                        node.send(signal.SIGTERM)
+                        node.send_signal(signal.SIGTERM)
                     case 1 | 2:
-                        node.send(signal.SIGHUP)
+                        node.send_signal(signal.SIGHUP)
                     case 3:
                         await self._pause_node(node, rng)
                 await trio.sleep(rng.uniform(0.0, 0.7))
@@ -160,20 +160,20 @@
                 async with self._harm(node.name):
                     node.kill()
             else:
-                node.send(signal.SIGTERM)
+                node.send_signal(signal.SIGTERM)
             await self._see_stopped(node)
             await self._restart(node, rng)
 
     async def _see_stopped(self, node: Node) -> None:
         with trio.move_on_after(STOP_SECONDS):
-            await node.until_ended()
+            await node.wait_until_ended()
             return
         self.records.count("killed as it did not stop")
         node.kill()
 
     async def _restart(self, node: Node, rng: random.Random) -> None:
         await trio.sleep(rng.uniform(0.0, 1.0))
-        self.cluster.run(node)
+        self.cluster.start_process(node)
 
     # Connections.
 
@@ -261,7 +261,7 @@
             self.records.count("evacuate")
             self.cluster.evacuate(zone)
             await trio.sleep(rng.uniform(*EVACUATED_FOR))
-            self.cluster.take_back(zone)
+            self.cluster.end_evacuation(zone)
             evacuation = Evacuation(zone, begun_at, trio.current_time())
             self.records.evacuations.append(evacuation)
             await trio.sleep(rng.uniform(*PAUSE_SECONDS))
--- a/bergamotcourse/tests/platform/soak/proxied_cluster.py
+++ b/bergamotcourse/tests/platform/soak/proxied_cluster.py
@@ -22,7 +22,7 @@
 
     proxies: dict[str, Proxy] = field(default_factory=dict)
 
-    async def path_to(self, name: str, address) -> tuple[str, int]:
+    async def expose_address(self, name: str, address) -> tuple[str, int]:
         """Start a proxy and return its address."""
         proxy = Proxy(PROXY_HOST, address)
         self.proxies[name] = proxy
@@ -32,4 +32,4 @@
     async def open_fronts(self) -> None:
         """Start the proxies that callers use."""
         for node in self.entries():
-            await self.path_to(f"front of {node.name}", node.addresses["front"])
+            await self.expose_address(f"front of {node.name}", node.addresses["front"])
--- a/bergamotcourse/tests/platform/soak/run.py
+++ b/bergamotcourse/tests/platform/soak/run.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from bergamotcourse.tests.platform.cluster import ask, make_job
+from bergamotcourse.tests.platform.cluster import make_job, send_request
 from bergamotcourse.tests.platform.soak.callers import Callers
 from bergamotcourse.tests.platform.soak.faults import Faults
 from bergamotcourse.tests.platform.soak.proxied_cluster import ProxiedCluster
@@ -63,7 +63,7 @@
         try:
             result = await soak(cluster, seed, seconds, variant)
         finally:
-            cluster.end()
+            cluster.shut_down()
             nursery.cancel_scope.cancel()
     return result
 
@@ -100,11 +100,11 @@
 async def find_old_configurations(cluster: ProxiedCluster) -> list[str]:
     """Return which entries do not know the route added last, after some calm."""
     await trio.sleep(IN_FORCE_SECONDS)
-    path = cluster.last_prefix()
+    path = cluster.newest_route_prefix()
     request = HttpRequest("GET", path, [("host", "one.example")])
     old = []
     for node in cluster.entries():
-        answer = await ask(node.addresses["front"], request)
+        answer = await send_request(node.addresses["front"], request)
         if answer.is_ok() and answer.ok.status == 404:
             old.append(f"{node.name} does not know {path}")
     return old
@@ -118,9 +118,11 @@
         with trio.move_on_after(RECOVERY_SECONDS) as scope:
             while True:
                 number += 1
-                request = make_job(number, 0.05, 2, prefix=cluster.last_prefix())
+                request = make_job(
+                    number, 0.05, 2, prefix=cluster.newest_route_prefix()
+                )
                 records.tasks[request.target.rpartition("/")[2]] = 2
-                answer = await ask(node.addresses["front"], request)
+                answer = await send_request(node.addresses["front"], request)
                 if answer.is_ok() and answer.ok.status == 200:
                     break
                 await trio.sleep(0.1)
--- a/bergamotcourse/tests/platform/standins.py
+++ b/bergamotcourse/tests/platform/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins that speak the platform's published protocol over HTTP."""
+"""Stand-ins for the store and a worker, with the platform's HTTP protocol."""
 
 from urllib.parse import parse_qs, urlsplit
 
@@ -25,16 +25,17 @@
 }
 
 
-LAST_KEY = "\uffff"
+END_OF_KEYS = "\uffff"
 
 
-class Rows:
-    """Keeps rows.
+class StoreStandIn:
+    """Stands in for the platform's store.
 
     Attributes:
-        history: Each change of a row, for the feed.
-        status: Other than 200, it is the answer to all calls.
-        returned: Counts the rows of the last answer.
+        rows: Value and version, by table and key.
+        history: All changes of rows, for the feed.
+        returned: The number of rows in the last answer.
+        status: The HTTP status of all answers; with 200 calls are served.
     """
 
     def __init__(self):
@@ -60,13 +61,13 @@
                 {"table": table, "part": "", "key": key, "value": value, "ver": version}
                 for (table, key), (value, version) in sorted(self.rows.items())
                 if table == query["table"]
-                if query.get("from", "") <= key < query.get("to", LAST_KEY)
+                if query.get("from", "") <= key < query.get("to", END_OF_KEYS)
             ]
         self.returned = len(rows)
         return self.answer(rows)
 
     async def wait_for_changes(self, query):
-        """Return the changes that a call asks for, as soon as there is one."""
+        """Return the requested changes once there are any, or none after the wait."""
         after = int(query["after"])
         with trio.move_on_after(int(query["wait_ms"]) / 1000):
             while not self.changes(query["table"], after):
@@ -96,28 +97,30 @@
 
 
 class HttpWorker:
-    """A worker: takes orders over HTTP, and reports itself to the agent beside it.
+    """Stands in for a worker: serves orders over HTTP, and reports to its agent.
 
     Attributes:
-        zone: As it reports it.
-        lives: The life that accepted each connection; it ends with that life.
-        leaving_known_at: When the agent took the word that this life leaves.
+        zone: The zone that it reports.
+        life_by_connection: The incarnation that accepted each connection, which is
+            not served after that incarnation.
+        drain_reported_at: When the agent accepted this incarnation's first report that
+            it is draining.
     """
 
     def __init__(self, upstream: OrderUpstream, zone="north"):
         self.upstream = upstream
         self.zone = zone
         self.address = ""
-        self.lives = {}
-        self.leaving_known_at = None
+        self.life_by_connection = {}
+        self.drain_reported_at = None
 
     def begin_life(self, upstream: OrderUpstream):
-        """Put another life in the place of the one that is over."""
+        """Replace the incarnation by a new one."""
         self.upstream = upstream
-        self.leaving_known_at = None
+        self.drain_reported_at = None
 
     async def handle(self, request):
-        life = self.lives.setdefault(request.connection, self.upstream)
+        life = self.life_by_connection.setdefault(request.connection, self.upstream)
         if life.down or life is not self.upstream:
             await trio.sleep_forever()
         body = msgspec.json.decode(request.body)
@@ -140,17 +143,17 @@
         verdict = self.upstream.start(order, body["fencing_token"]).verdict
         if verdict is StartVerdict.STARTED:
             self.upstream.running[key].zone = self.zone
-            self.note_leaving(key)
+            self.record_drain_delay(key)
             return self.answer(200)
         if verdict is StartVerdict.UNHEALTHY:
             return self.answer(503)
         return self.answer(409, reason=REASONS[verdict])
 
-    def note_leaving(self, key):
-        """Note for how long the agent has known that this worker leaves."""
+    def record_drain_delay(self, key):
+        """Record how long the agent had known at the start that this worker drains."""
         run = self.upstream.running[key]
-        if self.leaving_known_at is not None and not run.leaving_for:
-            run.leaving_for = run.started_at - self.leaving_known_at
+        if self.drain_reported_at is not None and not run.leaving_for:
+            run.leaving_for = run.started_at - self.drain_reported_at
 
     async def hold(self, body):
         until = body.get("until_ms")
@@ -176,8 +179,8 @@
             for end in holding.ended
         ]
         born = life.incarnation
-        told = {"born": born} if born else {}
-        return self.answer(200, running=running, ended=ended, **told)
+        fields = {"born": born} if born else {}
+        return self.answer(200, running=running, ended=ended, **fields)
 
     def answer(self, status, **fields):
         return json_answer({"clock_ms": self.clock_ms(), **fields}, status)
@@ -185,16 +188,16 @@
     def clock_ms(self):
         return int(self.upstream.clock() * 1000)
 
-    async def report(self, host, port, seconds):
-        """Report itself again and again."""
+    async def report_periodically(self, host, port, seconds):
+        """Send the worker's report every so many seconds."""
         client = HttpClient(host, port)
         try:
-            await self.report_with(client, seconds)
+            await self._send_reports(client, seconds)
         finally:
             with trio.CancelScope(shield=True):
                 await client.aclose()
 
-    async def report_with(self, client, seconds):
+    async def _send_reports(self, client, seconds):
         while True:
             if self.upstream.down:
                 await trio.sleep(seconds)
@@ -221,5 +224,5 @@
             answer = await client.request(request, 1.0)
             taken = answer.is_ok() and answer.ok.status == 200
             if taken and body["state"] == "draining" and upstream is self.upstream:
-                self.leaving_known_at = self.leaving_known_at or trio.current_time()
+                self.drain_reported_at = self.drain_reported_at or trio.current_time()
             await trio.sleep(seconds)
--- a/bergamotcourse/tests/platform/test_boundary.py
+++ b/bergamotcourse/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay inside the adapter."""
+"""The platform's paths and field names occur only in its adapter."""
 
 import re
 from pathlib import Path
@@ -10,7 +10,7 @@
     r"/bergamotcourse/(ready|run-start|run-stop|hold|pace|advise|rows-|blob-|machine"
     r"|Instances)"
 )
-# Not "wait_ms" and "clock_ms": the product has fields of its own of these names.
+# "wait_ms" and "clock_ms" are missing: other parts have fields of these names too.
 FIELDS = re.compile(
     r"\b(fencing_token|until_ms|observed|best_effort|estimated_ms|mem_mb"
     r"|listen_addrs|seed_nodes|internal_ports|control_plane"
@@ -26,7 +26,7 @@
 
 
 class TestBoundary:
-    def test_no_path_or_field_of_the_platform_stands_outside(self):
+    def test_platform_paths_and_fields_occur_only_in_adapter(self):
         found = [
             f"{path.relative_to(ROOT)}: {match.group()}"
             for path in sources()
@@ -35,7 +35,7 @@
         ]
         assert found == []
 
-    def test_nothing_below_the_daemons_imports_the_adapter(self):
+    def test_no_module_outside_adapter_imports_it(self):
         wrong = [
             str(path.relative_to(ROOT))
             for path in sources()
--- a/bergamotcourse/tests/platform/test_front.py
+++ b/bergamotcourse/tests/platform/test_caller_requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests over the adapter, with a fleet behind it."""
+"""Callers' HTTP requests to the adapter of an entry, with simulated agents."""
 
 import msgspec
 import pytest
@@ -11,7 +11,7 @@
 from bergamotcourse.coordination.jobs.processor_lag import ProcessorLag
 from bergamotcourse.coordination.jobs.queues_in_force import QueuesInForce
 from bergamotcourse.coordination.timers import Timers
-from bergamotcourse.platform.callers import CallersFront, ReadinessFront
+from bergamotcourse.platform.callers import CallerRequestHandler, ReadinessHandler
 from bergamotcourse.platform.documents import decode_queues
 from bergamotcourse.tests.jobs.fleets import run_fleet
 from bergamotcourse.transport.http import HttpRequest
@@ -45,7 +45,7 @@
     jobs = fleet.entries["entry-1"].jobs
     processor = ProcessorLag(Timers(), EventLog())
     service = JobService(queues, jobs, processor, EventLog())
-    return CallersFront(service)
+    return CallerRequestHandler(service)
 
 
 async def ask(front, method, path, body=None, host="one.example", deadline="3000"):
@@ -54,8 +54,8 @@
     return await front.handle(HttpRequest(method, path, headers, content))
 
 
-class TestShortOfProcessor:
-    def test_a_job_is_turned_away_unread(self):
+class TestProcessorOverload:
+    def test_new_job_is_refused_before_its_body_is_decoded(self):
         async def main(fleet):
             front = make_front(fleet)
             front.service.processor.shed_share = 1.0
@@ -66,7 +66,7 @@
 
         run_fleet(main)
 
-    def test_one_that_is_known_here_is_not(self):
+    def test_resubmitted_job_is_not_refused(self):
         async def main(fleet):
             front = make_front(fleet)
             fleet.nursery.start_soon(ask, front, "POST", f"/a/{ID}", JOB)
@@ -79,7 +79,7 @@
 
 
 class TestJobs:
-    def test_a_job_is_answered_when_it_has_ended(self):
+    def test_job_is_answered_after_its_tasks_ended(self):
         async def main(fleet):
             response = await ask(make_front(fleet), "POST", f"/a/{ID}", JOB)
             assert response.status == 200
@@ -88,7 +88,7 @@
 
         run_fleet(main)
 
-    def test_its_state_and_its_cancelling(self):
+    def test_running_job_can_be_queried_and_cancelled(self):
         async def main(fleet):
             front = make_front(fleet)
             fleet.nursery.start_soon(ask, front, "POST", f"/a/{ID}", JOB)
@@ -103,7 +103,7 @@
 
         run_fleet(main)
 
-    def test_another_body_under_the_id_of_a_running_job_is_refused(self):
+    def test_different_body_under_id_of_running_job_is_refused(self):
         async def main(fleet):
             front = make_front(fleet)
             fleet.nursery.start_soon(ask, front, "POST", f"/a/{ID}", JOB)
@@ -123,7 +123,7 @@
     @pytest.mark.parametrize(
         "change", [{"best_effort": False}, {"repeat_count": 2}, {"long_running": True}]
     )
-    def test_what_is_not_served_is_refused(self, change):
+    def test_unsupported_properties_are_refused(self, change):
         async def main(fleet):
             front = make_front(fleet)
             response = await ask(front, "POST", f"/a/{ID}", {**JOB, **change})
@@ -146,14 +146,14 @@
             ("PUT", f"/a/{ID}", "one.example", JOB, 405),
         ],
     )
-    def test_get_a_clear_refusal(self, method, path, host, body, status):
+    def test_are_refused_with_matching_status(self, method, path, host, body, status):
         async def main(fleet):
             response = await ask(make_front(fleet), method, path, body, host)
             assert response.status == status
 
         run_fleet(main)
 
-    def test_without_a_configuration_all_is_refused(self):
+    def test_all_are_refused_until_a_configuration_is_in_force(self):
         async def main(fleet):
             front = make_front(fleet, configured=False)
             assert (await ask(front, "POST", f"/a/{ID}", JOB)).status == 503
@@ -167,7 +167,7 @@
         st.binary(max_size=80),
         st.text(max_size=8),
     )
-    def test_nothing_a_caller_sends_breaks_the_front(self, method, path, body, wait):
+    def test_arbitrary_requests_get_client_errors(self, method, path, body, wait):
         class Fleet:
             entries = {"entry-1": type("Entry", (), {"jobs": None})()}
 
@@ -182,7 +182,7 @@
 
 class TestReadiness:
     @pytest.mark.parametrize("ready, status", [(True, 200), (False, 503)])
-    def test_is_told_by_the_status(self, ready, status):
-        front = ReadinessFront(lambda: ready)
+    def test_status_code_reports_readiness(self, ready, status):
+        front = ReadinessHandler(lambda: ready)
         response = trio.run(front.handle, HttpRequest("GET", "/bergamotcourse/ready"))
         assert response.status == status
--- a/bergamotcourse/tests/platform/test_configuration_in_force.py
+++ b/bergamotcourse/tests/platform/test_configuration_in_force.py
@@ -1,4 +1,4 @@
-"""A configuration is in force everywhere in time, whatever becomes of connections."""
+"""All entries apply an accepted configuration in time despite failed connections."""
 
 import base64
 import random
@@ -30,11 +30,12 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """How many entries there are, and what their users ask.
+    """The number of entries, and the bounds that its users require.
 
     Attributes:
-        calm: Seconds after a disturbance from which on the bound holds.
-        apply: Seconds after a version was accepted until it is in force everywhere.
+        calm: Seconds after a disturbance from which on ``apply`` holds.
+        apply: Seconds from the acceptance of a version until all entries have it in
+            force.
     """
 
     entries: int
@@ -54,7 +55,7 @@
 
 
 class Entry:
-    """The parts of an entry by which it learns of configurations."""
+    """The components of an entry through which it receives configurations."""
 
     def __init__(self, number, network, store, rng):
         self.address = LinkAddress(f"udp://10.0.0.{number}:7720")
@@ -85,7 +86,7 @@
 
 
 class Fleet:
-    """The entries of a deployment, and the store that they follow."""
+    """The entries of a deployment, and their store."""
 
     def __init__(self, deployment, nursery, rng):
         self.store = SilencedStore(nursery)
@@ -96,19 +97,19 @@
         ]
 
     def configure(self, version):
-        """Let the store accept a version."""
+        """Write a version of the configuration to the store."""
         config = msgspec.json.encode({"version": version, "routes": []})
         value = base64.b64encode(config).decode()
         row = {"table": "op", "key": "config", "value": value}
         self.store.rows.transact({"put": [row]})
 
-    def behind(self, version):
-        """Return how many entries have not got as far as a version."""
+    def count_entries_behind(self, version):
+        """Return how many entries have an older version in force than the given one."""
         return sum(entry.queues.version < version for entry in self.entries)
 
 
-def play(deployment, seed, scenario):
-    """Run a scenario with a fleet that has started and is calm."""
+def run_scenario(deployment, seed, scenario):
+    """Run a scenario with a fleet in which version 3 is in force everywhere."""
 
     async def main():
         rng = random.Random(seed)
@@ -118,7 +119,7 @@
             for entry in fleet.entries:
                 nursery.start_soon(entry.run)
             await trio.sleep(rng.uniform(10.0, 25.0))
-            assert fleet.behind(3) == 0
+            assert fleet.count_entries_behind(3) == 0
             await scenario(fleet, rng)
             nursery.cancel_scope.cancel()
 
@@ -126,11 +127,11 @@
 
 
 class TestOutage:
-    """The store refuses all calls while the operators change the configuration."""
+    """The store refuses all calls while the configuration changes."""
 
     @DEPLOYMENTS
     @SEEDS
-    def test_the_last_version_is_in_force_in_time(self, deployment, seed):
+    def test_last_version_is_in_force_in_time_after_outage(self, deployment, seed):
         async def scenario(fleet, rng):
             fleet.store.rows.status = 503
             await trio.sleep(rng.uniform(0.5, 6.0))
@@ -138,41 +139,41 @@
                 fleet.configure(version)
             fleet.store.rows.status = 200
             await trio.sleep(max(deployment.calm, deployment.apply))
-            assert fleet.behind(15) == 0
+            assert fleet.count_entries_behind(15) == 0
 
-        play(deployment, seed, scenario)
+        run_scenario(deployment, seed, scenario)
 
 
 class TestUnreachableStore:
-    """No call is answered or refused for some seconds."""
+    """Calls to the store get no answer for some seconds."""
 
     @pytest.mark.parametrize("seed", range(1, 41))
-    def test_an_entry_without_peers_follows_in_time(self, seed):
+    def test_single_entry_applies_next_version_in_time(self, seed):
         async def scenario(fleet, rng):
-            fleet.store.silence()
+            fleet.store.silence_open_connections()
             fleet.store.unreachable = True
             await trio.sleep(rng.uniform(3.0, 9.0))
             fleet.store.unreachable = False
             fleet.configure(7)
             await trio.sleep(ALONE.calm)
-            assert fleet.behind(7) == 0
+            assert fleet.count_entries_behind(7) == 0
 
-        play(ALONE, seed, scenario)
+        run_scenario(ALONE, seed, scenario)
 
 
 class TestSilentConnections:
-    """All connections to the store go silent at once; new ones work."""
+    """All open connections to the store go silent at once; new ones work."""
 
     @DEPLOYMENTS
     @SEEDS
-    def test_a_version_accepted_after_that_is_in_force_in_time(self, deployment, seed):
+    def test_version_accepted_later_is_in_force_in_time(self, deployment, seed):
         async def scenario(fleet, rng):
-            fleet.store.silence()
+            fleet.store.silence_open_connections()
             calm_at = trio.current_time() + deployment.calm
             await trio.sleep(rng.uniform(0.0, deployment.calm))
             fleet.configure(7)
             in_force_by = max(calm_at, trio.current_time() + deployment.apply)
             await trio.sleep_until(in_force_by)
-            assert fleet.behind(7) == 0
+            assert fleet.count_entries_behind(7) == 0
 
-        play(deployment, seed, scenario)
+        run_scenario(deployment, seed, scenario)
--- a/bergamotcourse/tests/platform/test_documents.py
+++ b/bergamotcourse/tests/platform/test_documents.py
@@ -33,7 +33,7 @@
     "limits": {},
 }
 JOB = {"spec": "text", "steps": [{"count": 4, "cpu": 500, "estimated_ms": 900}]}
-BEAT = {
+HEARTBEAT = {
     "service": "votes",
     "address": "10.0.0.9:8080",
     "zone": "north-1",
@@ -45,38 +45,38 @@
 }
 
 
-def encoded(document, **changes):
+def encode_with_changes(document, **changes):
     return msgspec.json.encode({**document, **changes})
 
 
-class TestQueues:
-    def test_the_longest_prefix_of_the_host_wins(self):
-        table = decode_queues(encoded(CONFIG))
+class TestDecodeQueues:
+    def test_longest_matching_prefix_of_host_selects_queue(self):
+        table = decode_queues(encode_with_changes(CONFIG))
         assert table.version == 7
         assert table.find("one.example", "/a/b/0123").name == "r-2"
         assert table.find("one.example", "/a/0123").name == "r-1"
         assert table.find("two.example", "/a/0123") is None
         assert table.find("one.example", "/c/") is None
 
-    def test_times_are_seconds(self):
-        queue = decode_queues(encoded(CONFIG)).queues[0]
+    def test_milliseconds_are_converted_to_seconds(self):
+        queue = decode_queues(encode_with_changes(CONFIG)).queues[0]
         assert queue.target_latency == 0.06
         assert queue.objective(1.0) == pytest.approx(1.66)
 
-    def test_a_malformed_one_is_refused(self):
+    def test_malformed_configuration_raises_value_error(self):
         with pytest.raises(ValueError):
             decode_queues(b'{"version": "x"}')
 
 
-class TestJob:
-    def test_of_one_step(self):
-        job = decode_job("0" * 16, encoded(JOB, best_effort=True))
+class TestDecodeJob:
+    def test_step_resources_and_estimate_are_decoded(self):
+        job = decode_job("0" * 16, encode_with_changes(JOB, best_effort=True))
         assert not job.kept
         assert job.steps[0].needs == Resources(500, 0, 0)
         assert job.steps[0].estimate == 0.9
 
-    def test_is_kept_unless_it_says_otherwise(self):
-        assert decode_job("0" * 16, encoded(JOB)).kept
+    def test_job_is_kept_unless_best_effort(self):
+        assert decode_job("0" * 16, encode_with_changes(JOB)).kept
 
     @pytest.mark.parametrize(
         "steps",
@@ -89,42 +89,44 @@
             [{"count": "many"}],
         ],
     )
-    def test_a_malformed_one_is_refused(self, steps):
+    def test_malformed_steps_raise_value_error(self, steps):
         with pytest.raises(ValueError):
-            decode_job("0" * 16, encoded(JOB, steps=steps))
+            decode_job("0" * 16, encode_with_changes(JOB, steps=steps))
 
     @pytest.mark.parametrize(
         "field, name",
         [("gang", "gang"), ("fills", "fills"), ("long_running", "long_running")],
     )
-    def test_what_cannot_be_honoured_is_named(self, field, name):
+    def test_unsupported_properties_are_listed(self, field, name):
         step = {"count": 1, field: True}
-        job = decode_job("0" * 16, encoded(JOB, steps=[step]))
+        job = decode_job("0" * 16, encode_with_changes(JOB, steps=[step]))
         assert job.unsupported == (name,)
 
     @given(st.binary(max_size=200))
-    def test_garbage_is_refused_with_a_value_error(self, body):
+    def test_arbitrary_bytes_raise_only_value_error(self, body):
         with contextlib.suppress(ValueError):
             decode_job("0" * 16, body)
 
 
-class TestReport:
-    def test_is_decoded_into_typed_fields(self):
-        report = decode_report("i-1", encoded(BEAT))
+class TestDecodeReport:
+    def test_fields_are_converted_to_types(self):
+        report = decode_report("i-1", encode_with_changes(HEARTBEAT))
         assert report.capacity == Resources(16000, 32768, 0)
         assert report.clock == 482.113
         assert report.rack == "r1-3"
         assert not report.draining
 
-    @pytest.mark.parametrize("told, incarnation", [({}, 0), ({"born": 1780}, 1780)])
-    def test_tells_the_life(self, told, incarnation):
-        report = decode_report("i-1", encoded(BEAT, **told))
+    @pytest.mark.parametrize("fields, incarnation", [({}, 0), ({"born": 1780}, 1780)])
+    def test_start_time_is_incarnation(self, fields, incarnation):
+        report = decode_report("i-1", encode_with_changes(HEARTBEAT, **fields))
         assert report.incarnation == incarnation
 
-    def test_of_one_that_leaves(self):
-        assert decode_report("i-1", encoded(BEAT, state="draining")).draining
+    def test_draining_state_is_decoded(self):
+        assert decode_report(
+            "i-1", encode_with_changes(HEARTBEAT, state="draining")
+        ).draining
 
     @given(st.binary(max_size=200))
-    def test_garbage_is_refused_with_a_value_error(self, body):
+    def test_arbitrary_bytes_raise_only_value_error(self, body):
         with contextlib.suppress(ValueError):
             decode_report("i-1", body)
--- a/bergamotcourse/tests/platform/test_settings_file.py
+++ b/bergamotcourse/tests/platform/test_settings_file.py
@@ -20,8 +20,8 @@
 """
 
 
-class TestParse:
-    def test_an_entry(self):
+class TestParseSettings:
+    def test_settings_of_an_entry(self):
         settings = parse_settings(ENTRY)
         assert settings.name == "edge-1"
         assert settings.link == Endpoint("10.1.0.13", 7720)
@@ -34,15 +34,15 @@
         )
         assert settings.stop_seconds == 6.0
 
-    def test_an_agent_serves_no_callers(self):
+    def test_agent_has_no_address_for_callers(self):
         text = ENTRY.replace("serves=edge,control_plane", "serves=side")
         assert parse_settings(text).callers is None
 
-    def test_no_seeds(self):
+    def test_empty_seed_list_is_valid(self):
         text = ENTRY.replace("seed_nodes=10.1.0.13:8166,10.2.0.30:8166", "seed_nodes=")
         assert parse_settings(text).seeds == ()
 
-    def test_all_faults_are_told_at_once(self):
+    def test_error_lists_all_faults(self):
         text = ENTRY.replace("ip=10.1.0.13\n", "\n").replace(":8169", ":port")
         with pytest.raises(ValueError) as caught:
             parse_settings(text)
@@ -52,13 +52,13 @@
     @pytest.mark.parametrize(
         "line", ["internal_ports=x", "bounds.grace_s=soon", "seed_nodes=nowhere"]
     )
-    def test_a_malformed_value(self, line):
+    def test_malformed_value_is_reported_with_its_key(self, line):
         with pytest.raises(ValueError, match=line.split("=")[0]):
             parse_settings(ENTRY + line)
 
 
-class TestRead:
-    def test_a_missing_file_is_one_clean_line(self, tmp_path):
+class TestReadSettings:
+    def test_missing_file_is_reported_in_one_line(self, tmp_path):
         with pytest.raises(BergamotcourseError) as caught:
             read_settings(str(tmp_path / "none"))
         assert "\n" not in str(caught.value)
--- a/bergamotcourse/tests/platform/test_start.py
+++ b/bergamotcourse/tests/platform/test_start.py
@@ -1,22 +1,22 @@
-"""What a start of a role loads."""
+"""The modules that the start of an entry or an agent imports."""
 
 import subprocess
 import sys
 
 import pytest
 
-NOT_AT_A_START = ("click", "prometheus_client", "tenacity", "yaml", "eliot")
-"""Libraries that only some calls use: each costs a start time, and memory after it."""
+OPTIONAL_LIBRARIES = ("click", "prometheus_client", "tenacity", "yaml", "eliot")
+"""Libraries that few calls need: importing one lengthens the start and takes memory."""
 
-OTHERS_PARTS = {
+OTHER_ROLE_MODULES = {
     "entry": ("bergamotcourse.coordination.jobs.executor",),
     "agent": ("bergamotcourse.coordination.jobs.job_dispatcher",),
 }
 
 
-def loaded_by(role):
+def modules_loaded_by(role):
     code = f"import sys, bergamotcourse.platform.{role}; print(*sys.modules)"
-    # Without the site module: what it loads is the machine's and no part of a start.
+    # Without the site module, whose imports depend on the machine.
     done = subprocess.run(
         [sys.executable, "-S", "-c", f"import sys; sys.path = {sys.path!r}; {code}"],
         capture_output=True,
@@ -28,6 +28,6 @@
 
 class TestStart:
     @pytest.mark.parametrize("role", ["entry", "agent"])
-    def test_loads_only_what_the_role_uses(self, role):
-        loaded = loaded_by(role)
-        assert not loaded & {*NOT_AT_A_START, *OTHERS_PARTS[role]}
+    def test_imports_only_modules_that_the_role_uses(self, role):
+        loaded = modules_loaded_by(role)
+        assert not loaded & {*OPTIONAL_LIBRARIES, *OTHER_ROLE_MODULES[role]}
--- a/bergamotcourse/tests/platform/test_store.py
+++ b/bergamotcourse/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's calls, against an HTTP server that keeps rows as the store does."""
+"""The store's client, against a stand-in for the store."""
 
 import base64
 
@@ -9,14 +9,13 @@
 
 from bergamotcourse.coordination.event_log import EventLog
 from bergamotcourse.ids import LinkAddress, ServiceName, UpstreamId, ZoneName
-from bergamotcourse.platform.store import Rows as StoreRows
-from bergamotcourse.platform.store import Store
+from bergamotcourse.platform.store import DecodedRows, Store
 from bergamotcourse.protocol.job_store import HistoryGoneError
 from bergamotcourse.protocol.upstream_orders import UpstreamReport
 from bergamotcourse.state.evacuations import ZoneChange
 from bergamotcourse.state.node_settings import Endpoint
 from bergamotcourse.state.resources import Resources
-from bergamotcourse.tests.platform.standins import Rows
+from bergamotcourse.tests.platform.standins import StoreStandIn
 from bergamotcourse.transport.http_server import HttpServer
 
 ENTRY = LinkAddress("udp://10.0.0.1:7720")
@@ -33,8 +32,8 @@
 )
 
 
-def with_store(rows, use):
-    """Run a use of the store, and return what the store's client logged."""
+def with_store(rows, scenario):
+    """Run a scenario with a client of the store, and return what it logged."""
     lines = []
 
     async def main():
@@ -45,7 +44,7 @@
             log = EventLog(lambda kind, fields: lines.append((kind, fields)))
             store = Store(Endpoint("127.0.0.1", server.port), log)
             try:
-                await use(store)
+                await scenario(store)
             finally:
                 await store.aclose()
             nursery.cancel_scope.cancel()
@@ -55,55 +54,55 @@
 
 
 class TestConfig:
-    def test_is_read_with_the_position_of_its_changes(self):
-        rows = Rows()
+    def test_no_configuration_changes_after_the_read_position(self):
+        rows = StoreStandIn()
         value = base64.b64encode(b"{}").decode()
         rows.transact({"put": [{"table": "op", "key": "config", "value": value}]})
 
-        async def use(store):
+        async def scenario(store):
             read = (await store.read_config(1.0)).ok
             assert (read.content, read.position) == (b"{}", 1)
             changes = (await store.wait_for_config_changes(1, 0.0, 1.0)).ok
             assert changes.content is None
 
-        with_store(rows, use)
+        with_store(rows, scenario)
 
-    def test_the_last_of_several_changes_is_taken(self):
-        """The store tells each change, though only the last is in force."""
-        rows = Rows()
+    def test_last_of_several_changes_is_returned(self):
+        """The store's feed has each change, and only the last is in force."""
+        rows = StoreStandIn()
         for content in (b"1", b"2", b"3"):
             value = base64.b64encode(content).decode()
             rows.transact({"put": [{"table": "op", "key": "config", "value": value}]})
 
-        async def use(store):
+        async def scenario(store):
             assert (await store.wait_for_config_changes(1, 0.0, 1.0)).ok.content == b"3"
 
-        with_store(rows, use)
+        with_store(rows, scenario)
 
-    def test_comes_with_the_zones_that_are_evacuated(self):
-        """The key tells the zone, whatever stands in the row."""
-        rows = Rows()
+    def test_read_returns_all_evacuated_zones(self):
+        """The key names the zone, whatever the row's value."""
+        rows = StoreStandIn()
         put = [
             {"table": "op", "key": f"evacuate/{zone}", "value": value}
             for zone, value in [("north", "e30="), ("south", "?"), ("", "e30=")]
         ]
         rows.transact({"put": put})
 
-        async def use(store):
+        async def scenario(store):
             read = (await store.read_config(1.0)).ok
             assert read.is_snapshot
             assert [change.zone for change in read.zones] == ["north", "south"]
 
-        with_store(rows, use)
+        with_store(rows, scenario)
 
-    def test_tells_which_zones_are_taken_back_since(self):
-        rows = Rows()
+    def test_changes_include_ended_evacuations(self):
+        rows = StoreStandIn()
         for zone in ("north", "south"):
             row = {"table": "op", "key": f"evacuate/{zone}", "value": "e30="}
             rows.transact({"put": [row]})
         rows.transact({"remove": [{"table": "op", "key": "evacuate/north"}]})
 
-        async def use(store):
+        async def scenario(store):
             read = (await store.wait_for_config_changes(1, 0.0, 1.0)).ok
             assert not read.is_snapshot
             assert read.zones == (
@@ -111,59 +110,59 @@
                 ZoneChange(ZoneName("north"), False, 3),
             )
 
-        with_store(rows, use)
+        with_store(rows, scenario)
 
-    def test_there_may_be_none(self):
-        async def use(store):
+    def test_missing_configuration_is_none(self):
+        async def scenario(store):
             assert (await store.read_config(1.0)).ok.content is None
 
-        with_store(Rows(), use)
+        with_store(StoreStandIn(), scenario)
 
-    def test_lost_history_is_told_apart(self):
-        rows = Rows()
+    def test_lost_history_is_a_distinct_error(self):
+        rows = StoreStandIn()
         rows.status = 410
 
-        async def use(store):
+        async def scenario(store):
             result = await store.wait_for_config_changes(1, 0.0, 1.0)
             assert isinstance(result.error, HistoryGoneError)
 
-        with_store(rows, use)
+        with_store(rows, scenario)
 
-    def test_a_refusal_is_an_error(self):
-        rows = Rows()
+    def test_error_status_is_an_error(self):
+        rows = StoreStandIn()
         rows.status = 503
 
-        async def use(store):
+        async def scenario(store):
             assert (await store.read_config(1.0)).is_error()
             assert (await store.put_entry(ENTRY, 1.0)).is_error()
 
-        with_store(rows, use)
+        with_store(rows, scenario)
 
 
 class TestEntries:
-    def test_come_and_go(self):
-        async def use(store):
+    def test_registered_entry_is_listed_until_removed(self):
+        async def scenario(store):
             assert (await store.put_entry(ENTRY, 1.0)).is_ok()
             assert (await store.read_entries(1.0)).ok == [ENTRY]
             assert (await store.remove_entry(ENTRY, 1.0)).is_ok()
             assert (await store.read_entries(1.0)).ok == []
 
-        with_store(Rows(), use)
+        with_store(StoreStandIn(), scenario)
 
 
 class TestUpstreams:
-    def test_are_kept_as_reported(self):
-        async def use(store):
+    def test_stored_report_is_returned_unchanged(self):
+        async def scenario(store):
             assert (await store.put_upstream(ENTRY, REPORT, 1.0)).is_ok()
             assert (await store.read_upstreams(1.0)).ok == {ENTRY: REPORT}
 
-        with_store(Rows(), use)
+        with_store(StoreStandIn(), scenario)
 
-    def test_an_agent_reads_its_own_alone(self):
-        rows = Rows()
+    def test_agent_reads_only_its_own_row(self):
+        rows = StoreStandIn()
         agents = [LinkAddress(f"udp://10.0.0.{number}:7720") for number in (1, 10, 2)]
 
-        async def use(store):
+        async def scenario(store):
             for agent in agents:
                 await store.put_upstream(agent, REPORT, 1.0)
             for agent in agents:
@@ -172,20 +171,20 @@
             absent = LinkAddress("udp://10.0.0.3:7720")
             assert (await store.read_upstream(absent, 1.0)).ok is None
 
-        with_store(rows, use)
+        with_store(rows, scenario)
 
-    def test_one_that_cannot_be_read_is_passed_over(self):
-        rows = Rows()
+    def test_undecodable_row_is_skipped(self):
+        rows = StoreStandIn()
         rows.transact({"put": [{"table": "upstreams", "key": "x", "value": "AAAA"}]})
 
-        async def use(store):
+        async def scenario(store):
             assert (await store.read_upstreams(1.0)).ok == {}
 
-        with_store(rows, use)
+        with_store(rows, scenario)
 
 
-class ForeignRows(Rows):
-    """Rows of which some were written by others, in ways of their own."""
+class StoreWithForeignRows(StoreStandIn):
+    """A store in which some rows of a table were written by another program."""
 
     def __init__(self, table, foreign):
         super().__init__()
@@ -206,7 +205,7 @@
         ]
 
 
-FOREIGN_ROWS = [
+UNUSABLE_ROWS = [
     {"value": ""},
     {"key": 7, "value": "x"},
     {"key": "udp://10.0.0.9:7720", "value": [1]},
@@ -219,54 +218,54 @@
     [],
     "row",
 ]
-"""Rows that name no process of ours."""
+"""Rows whose key is not the address of a process, or that cannot be decoded."""
 
 
-OWN_ROW = msgspec.json.encode({"key": ENTRY, "value": ""})
+VALID_ROW = msgspec.json.encode({"key": ENTRY, "value": ""})
 
 
-class TestRowsOfAnotherWriter:
-    def test_name_no_entry_and_hide_none(self):
-        rows = ForeignRows("entries", FOREIGN_ROWS)
+class TestUnusableRows:
+    def test_are_skipped_among_entries(self):
+        rows = StoreWithForeignRows("entries", UNUSABLE_ROWS)
 
-        async def use(store):
+        async def scenario(store):
             await store.put_entry(ENTRY, 1.0)
             assert (await store.read_entries(1.0)).ok == [ENTRY]
             assert (await store.read_entries(1.0)).ok == [ENTRY]
 
-        lines = with_store(rows, use)
-        assert len(lines) == len(FOREIGN_ROWS)
+        lines = with_store(rows, scenario)
+        assert len(lines) == len(UNUSABLE_ROWS)
         assert {kind for kind, _ in lines} == {"store.row_skipped"}
 
-    def test_name_no_upstream_and_hide_none(self):
+    def test_are_skipped_among_upstreams(self):
         unreadable = {"key": ENTRY, "value": base64.b64encode(b"\xc1\xff").decode()}
-        rows = ForeignRows("upstreams", [*FOREIGN_ROWS, unreadable])
+        rows = StoreWithForeignRows("upstreams", [*UNUSABLE_ROWS, unreadable])
 
-        async def use(store):
+        async def scenario(store):
             await store.put_upstream(ENTRY, REPORT, 1.0)
             assert (await store.read_upstreams(1.0)).ok == {ENTRY: REPORT}
 
-        lines = with_store(rows, use)
-        assert len(lines) == len(FOREIGN_ROWS) + 1
+        lines = with_store(rows, scenario)
+        assert len(lines) == len(UNUSABLE_ROWS) + 1
 
-    def test_leave_the_configuration_alone(self):
-        foreign = [*FOREIGN_ROWS, {"key": "config", "value": "%%"}]
-        rows = ForeignRows("op", foreign)
+    def test_do_not_change_the_configuration(self):
+        foreign = [*UNUSABLE_ROWS, {"key": "config", "value": "%%"}]
+        rows = StoreWithForeignRows("op", foreign)
         value = base64.b64encode(b"{}").decode()
         rows.transact({"put": [{"table": "op", "key": "config", "value": value}]})
 
-        async def use(store):
+        async def scenario(store):
             assert (await store.read_config(1.0)).ok.content == b"{}"
             assert (
                 await store.wait_for_config_changes(0, 0.0, 1.0)
             ).ok.content == b"{}"
 
-        with_store(rows, use)
+        with_store(rows, scenario)
 
-    def test_nested_too_deep_to_be_read_hides_none(self):
+    def test_deeply_nested_row_does_not_hide_others(self):
         nested = b'{"x":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
         store = Store(Endpoint("127.0.0.1", 1), EventLog())
-        rows = [msgspec.Raw(nested), msgspec.Raw(OWN_ROW)]
+        rows = [msgspec.Raw(nested), msgspec.Raw(VALID_ROW)]
         assert [row.key for row in store._decode_rows("entries", rows)] == [ENTRY]
 
     @given(
@@ -278,9 +277,9 @@
             max_size=4,
         )
     )
-    def test_whatever_they_hold_the_others_are_read(self, foreign):
-        rows = [*map(msgspec.json.encode, foreign), OWN_ROW]
+    def test_arbitrary_rows_do_not_hide_a_valid_one(self, foreign):
+        rows = [*map(msgspec.json.encode, foreign), VALID_ROW]
         store = Store(Endpoint("127.0.0.1", 1), EventLog())
-        read = StoreRows(1, store._decode_rows("entries", map(msgspec.Raw, rows)))
-        assert ENTRY in store._entries_in(read)
-        assert store._upstreams_in(read) == {}
+        read = DecodedRows(1, store._decode_rows("entries", map(msgspec.Raw, rows)))
+        assert ENTRY in store._entries_from_rows(read)
+        assert store._upstreams_from_rows(read) == {}
--- a/bergamotcourse/tests/platform/test_worker_orders.py
+++ b/bergamotcourse/tests/platform/test_worker_orders.py
@@ -1,4 +1,4 @@
-"""The calls to a worker, against an HTTP server that answers as one does."""
+"""The client of a worker, against a stand-in with fixed answers."""
 
 import msgspec
 import pytest
@@ -17,13 +17,13 @@
 from bergamotcourse.transport.http import HttpResponse
 from bergamotcourse.transport.http_server import HttpServer
 
-UNTOLD = LifeKey("i-1", 0)
-TOLD = LifeKey("i-1", 1780)
+UNKNOWN_LIFE = LifeKey("i-1", 0)
+KNOWN_LIFE = LifeKey("i-1", 1780)
 KEY = RunKey(TaskName("5c0e7a21d94b36f8.0.0.1"), 2)
 
 
 class Worker:
-    """Answers with what it was told to, and keeps the requests."""
+    """Answers all requests with one status and body, and records the requests."""
 
     def __init__(self, status=200, body=None):
         self.status = status
@@ -35,14 +35,14 @@
         return HttpResponse(self.status, [], msgspec.json.encode(self.body))
 
 
-def with_worker(worker, use, life=UNTOLD):
+def with_worker(worker, send_orders, life=UNKNOWN_LIFE):
     async def main():
         server = HttpServer("127.0.0.1", 0, worker.handle)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(server.run)
             await server.wait_open()
             orders = WorkerOrders(life, f"127.0.0.1:{server.port}", 7)
-            result = await use(orders)
+            result = await send_orders(orders)
             await orders.aclose()
             nursery.cancel_scope.cancel()
         return result
@@ -66,7 +66,7 @@
             (503, "", StartVerdict.UNHEALTHY),
         ],
     )
-    def test_verdicts(self, status, reason, verdict):
+    def test_status_and_reason_give_verdict(self, status, reason, verdict):
         worker = Worker(status, {"clock_ms": 5000, "reason": reason})
         reply = with_worker(
             worker, lambda orders: orders.start(StartOrder(KEY, "text", 5.5), 1.0)
@@ -74,7 +74,7 @@
         assert reply.verdict is verdict
         assert reply.clock == 5.0
 
-    def test_names_the_life_it_means(self):
+    def test_request_names_the_worker_and_the_fencing_token(self):
         worker = Worker()
         with_worker(
             worker, lambda orders: orders.start(StartOrder(KEY, "text", 5.5), 1.0)
@@ -89,16 +89,16 @@
             "fencing_token": 7,
         }
 
-    def test_no_answer_is_unknown(self):
+    def test_verdict_is_unknown_without_an_answer(self):
         async def main():
-            orders = WorkerOrders(UNTOLD, "127.0.0.1:1", 7)
+            orders = WorkerOrders(UNKNOWN_LIFE, "127.0.0.1:1", 7)
             return await orders.start(StartOrder(KEY, "text", 5.5), 1.0)
 
         assert trio.run(main).verdict is StartVerdict.UNKNOWN
 
 
 class TestHold:
-    def test_lists_what_runs_and_what_has_ended(self):
+    def test_returns_running_and_ended_runs(self):
         body = {
             "clock_ms": 482113,
             "running": [[KEY.task, 2, "", 41]],
@@ -115,12 +115,12 @@
             "wait_ms": 100,
         }
 
-    def test_tells_the_life_that_answers(self):
+    def test_returns_the_incarnation_that_answered(self):
         worker = Worker(200, {"clock_ms": 1000, "born": 1780})
         holding = with_worker(worker, lambda orders: orders.hold(0, None, 0.0, 1.0))
         assert holding.incarnation == 1780
 
-    def test_a_look_renews_nothing(self):
+    def test_call_without_lease_end_renews_nothing(self):
         worker = Worker()
         with_worker(worker, lambda orders: orders.hold(0, None, 0.0, 1.0))
         assert msgspec.json.decode(worker.requests[0].body) == {"fencing_token": 7}
@@ -135,7 +135,7 @@
             (200, {"clock_ms": 1, "ended": [[1, "t", 1, "?"]]}, HoldFailure.REFUSED),
         ],
     )
-    def test_failures(self, status, body, failure):
+    def test_status_and_reason_give_failure(self, status, body, failure):
         worker = Worker(status, body)
         answer = with_worker(worker, lambda orders: orders.hold(0, None, 0.0, 1.0))
         assert answer is failure
@@ -143,35 +143,39 @@
 
 class TestStop:
     @pytest.mark.parametrize("status, stopped", [(200, True), (503, False)])
-    def test_is_true_once_the_worker_said_so(self, status, stopped):
+    def test_returns_whether_the_worker_confirmed(self, status, stopped):
         worker = Worker(status)
         assert with_worker(worker, lambda orders: orders.stop(KEY, 1.0)) is stopped
 
 
-class TestLives:
-    """Orders that are meant for one life of a worker that may start again."""
+class TestIncarnations:
+    """Orders to one incarnation of a worker that may have restarted."""
 
-    async def order_all(self, orders):
+    async def send_each_order(self, orders):
         start = await orders.start(StartOrder(KEY, "text", 5.5), 1.0)
         stopped = await orders.stop(KEY, 1.0)
         holding = await orders.hold(57, 486.0, 0.0, 1.0)
         return start.verdict, stopped, holding
 
-    def test_none_reaches_another_life(self):
+    def test_no_order_is_sent_to_another_incarnation(self):
         worker = Worker(200, {"clock_ms": 1000, "born": 1781})
-        verdict, stopped, holding = with_worker(worker, self.order_all, TOLD)
+        verdict, stopped, holding = with_worker(
+            worker, self.send_each_order, KNOWN_LIFE
+        )
         assert verdict is StartVerdict.OTHER_BOOT
         assert not stopped
         assert holding is HoldFailure.OTHER_BOOT
-        looks = [msgspec.json.decode(request.body) for request in worker.requests]
-        assert all(look == {"fencing_token": 7} for look in looks)
+        checks = [msgspec.json.decode(request.body) for request in worker.requests]
+        assert all(check == {"fencing_token": 7} for check in checks)
         assert {request.target for request in worker.requests} == {
             "/bergamotcourse/hold"
         }
 
-    def test_one_look_a_connection_tells_the_life(self):
+    def test_incarnation_is_checked_once_per_connection(self):
         worker = Worker(200, {"clock_ms": 1000, "born": 1780})
-        verdict, stopped, holding = with_worker(worker, self.order_all, TOLD)
+        verdict, stopped, holding = with_worker(
+            worker, self.send_each_order, KNOWN_LIFE
+        )
         assert (verdict, stopped) == (StartVerdict.STARTED, True)
         assert holding.incarnation == 1780
         targets = [request.target.rpartition("/")[2] for request in worker.requests]
@@ -186,23 +190,23 @@
             (200, {"running": 1}, StartVerdict.INVALID, HoldFailure.REFUSED),
         ],
     )
-    def test_one_that_tells_none_gets_no_order(self, status, body, verdict, failure):
+    def test_no_order_is_sent_if_the_check_fails(self, status, body, verdict, failure):
         worker = Worker(status, body)
-        answers = with_worker(worker, self.order_all, TOLD)
+        answers = with_worker(worker, self.send_each_order, KNOWN_LIFE)
         assert answers == (verdict, False, failure)
         assert all(one.target.endswith("hold") for one in worker.requests)
 
-    def test_an_answer_on_a_connection_of_before_is_none_of_the_next_life(self):
-        """The connection that was checked has gone with the process."""
+    def test_checked_connection_is_not_reused_after_a_restart(self):
+        """The connection that was checked is closed when the process ends."""
 
-        async def use(orders):
+        async def send_orders(orders):
             first = await orders.start(StartOrder(KEY, "text", 5.5), 1.0)
             await trio.aclose_forcefully(orders.client.idle[0].stream)
             worker.body = {"clock_ms": 1000, "born": 1781}
             return first, await orders.start(StartOrder(KEY, "text", 5.5), 1.0)
 
         worker = Worker(200, {"clock_ms": 1000, "born": 1780})
-        first, second = with_worker(worker, use, TOLD)
+        first, second = with_worker(worker, send_orders, KNOWN_LIFE)
         assert first.verdict is StartVerdict.STARTED
         assert second.verdict in (StartVerdict.OTHER_BOOT, StartVerdict.UNKNOWN)
         starts = [one for one in worker.requests if one.target.endswith("run-start")]
