--- a/bergamotcourse/daemons/job_entry.py
+++ b/bergamotcourse/daemons/job_entry.py
@@ -147,7 +147,7 @@
         begun = trio.current_time()
         self.stopping = True
         self.jobs.ends_at = self.node.timers.now() + seconds
-        self.server.begin_leave()
+        self.server.close_after_next_responses()
         self.node.log.write("entry.stopping", jobs=len(self.jobs.jobs))
         await trio.sleep(BALANCER_SECONDS)
         self.server.begin_stop()
--- a/bergamotcourse/platform/store.py
+++ b/bergamotcourse/platform/store.py
@@ -101,7 +101,7 @@
             endpoint.port,
             MAX_CONNECTIONS,
             connect=connect,
-            doubts_idle=True,
+            close_idle_on_timeout=True,
         )
         self.log = log
         self.logged_skipped_rows: set[tuple[str, str, int]] = set()
--- a/bergamotcourse/platform/worker_orders.py
+++ b/bergamotcourse/platform/worker_orders.py
@@ -19,7 +19,7 @@
 )
 from bergamotcourse.state.job_spec import TaskName
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
-from bergamotcourse.transport.http_client import Greeting, HttpClient
+from bergamotcourse.transport.http_client import HttpClient, IdentityCheck
 
 JSON = ("content-type", "application/json")
 EXPECTED_INSTANCE_HEADER = "bergamotcourse-expected-instance"
@@ -120,7 +120,7 @@
             worker.port,
             connections=MAX_CONNECTIONS,
             idle_seconds=IDLE_SECONDS,
-            greeting=self._incarnation_check() if life.incarnation else None,
+            identity_check=self._incarnation_check() if life.incarnation else None,
         )
 
     @classmethod
@@ -199,12 +199,12 @@
             msgspec.json.encode(body),
         )
 
-    def _incarnation_check(self) -> Greeting:
+    def _incarnation_check(self) -> IdentityCheck:
         """Return the request that checks the incarnation on each new connection.
 
         It lists the worker's runs and renews no lease.
         """
-        return Greeting(
+        return IdentityCheck(
             self._request("hold", WireHold(self.token)), self._refuse_other_incarnation
         )
 
--- a/bergamotcourse/tests/transport/test_datagram_link.py
+++ b/bergamotcourse/tests/transport/test_datagram_link.py
@@ -9,12 +9,12 @@
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.transport import datagram_link
 from bergamotcourse.transport.datagram_link import (
-    HEADER,
-    MOST_PARTIAL,
-    MOST_PARTS,
-    PART_BYTES,
-    Assembly,
+    FRAGMENT_BYTES,
+    FRAGMENT_HEADER,
+    MAX_FRAGMENTS,
+    MAX_PARTIAL_PAYLOADS,
     DatagramLink,
+    PayloadReassembler,
 )
 
 HOST = "127.0.0.1"
@@ -34,15 +34,15 @@
             nursery.cancel_scope.cancel()
 
 
-def part(number, index, count, data=b"x"):
-    return HEADER.pack(number, index, count) + data
+def fragment(number, index, count, data=b"x"):
+    return FRAGMENT_HEADER.pack(number, index, count) + data
 
 
 class TestDelivery:
-    def test_payloads_arrive_whole(self):
+    def test_payloads_of_any_size_arrive_intact(self):
         async def scenario():
             async with opened() as a, opened() as b:
-                sizes = [0, 1, PART_BYTES, PART_BYTES + 1, 100_000, *range(200)]
+                sizes = [0, 1, FRAGMENT_BYTES, FRAGMENT_BYTES + 1, 100_000, *range(200)]
                 for size in sizes:
                     payload = random.Random(size).randbytes(size)
                     assert (await a.send(b.address, payload)).is_ok()
@@ -50,7 +50,7 @@
 
         trio.run(scenario)
 
-    def test_a_peer_that_comes_back_is_reached_at_once(self):
+    def test_restarted_peer_is_reached_without_reconnecting(self):
         async def scenario():
             async with opened() as a:
                 async with opened() as b:
@@ -63,7 +63,7 @@
 
         trio.run(scenario)
 
-    def test_one_that_is_away_does_not_end_receiving(self):
+    def test_unreachable_peer_does_not_break_receiving(self):
         async def scenario():
             async with opened() as a, opened() as b:
                 holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -80,7 +80,7 @@
 
 class TestRefusals:
     @pytest.mark.parametrize("peer", ["tcp://127.0.0.1:1", "udp://1", "udp://1:x", ""])
-    def test_an_address_that_is_none(self, peer):
+    def test_invalid_address_is_an_error_of_send(self, peer):
         async def scenario():
             async with opened() as a:
                 result = await a.send(LinkAddress(peer), b"x")
@@ -89,15 +89,15 @@
 
         trio.run(scenario)
 
-    def test_a_payload_that_is_too_large(self):
+    def test_payload_above_maximum_is_refused(self):
         async def scenario():
             async with opened() as a, opened() as b:
-                payload = bytes(MOST_PARTS * PART_BYTES + 1)
+                payload = bytes(MAX_FRAGMENTS * FRAGMENT_BYTES + 1)
                 assert (await a.send(b.address, payload)).is_error()
 
         trio.run(scenario)
 
-    def test_an_address_that_is_taken(self):
+    def test_address_in_use_is_an_error_of_run(self):
         async def scenario():
             async with opened() as a:
                 await DatagramLink(HOST, a.port).run()
@@ -108,7 +108,7 @@
 
 
 class TestClosed:
-    def test_who_receives_after_the_end_is_told(self):
+    def test_receive_on_closed_link_raises(self):
         async def scenario():
             async with opened() as a:
                 pass
@@ -118,48 +118,48 @@
         trio.run(scenario)
 
 
-class TestAssembly:
-    def test_parts_in_any_order_and_doubled(self):
-        assembly = Assembly()
-        assert assembly.take(SENDER, part(1, 1, 3, b"b")) is None
-        assert assembly.take(SENDER, part(1, 1, 3, b"b")) is None
-        assert assembly.take(SENDER, part(1, 2, 3, b"c")) is None
-        assert assembly.take(SENDER, part(1, 0, 3, b"a")) == b"abc"
-        assert not assembly.partial
+class TestReassembly:
+    def test_reordered_and_duplicated_fragments_are_joined(self):
+        reassembler = PayloadReassembler()
+        assert reassembler.add_fragment(SENDER, fragment(1, 1, 3, b"b")) is None
+        assert reassembler.add_fragment(SENDER, fragment(1, 1, 3, b"b")) is None
+        assert reassembler.add_fragment(SENDER, fragment(1, 2, 3, b"c")) is None
+        assert reassembler.add_fragment(SENDER, fragment(1, 0, 3, b"a")) == b"abc"
+        assert not reassembler.partial
 
-    def test_parts_of_two_senders_are_kept_apart(self):
-        assembly = Assembly()
-        assembly.take(SENDER, part(1, 0, 2))
-        assert assembly.take((HOST, 2), part(1, 1, 2)) is None
+    def test_fragments_of_two_senders_are_not_mixed(self):
+        reassembler = PayloadReassembler()
+        reassembler.add_fragment(SENDER, fragment(1, 0, 2))
+        assert reassembler.add_fragment((HOST, 2), fragment(1, 1, 2)) is None
 
     @pytest.mark.parametrize(
         "datagram",
         [
             b"",
             b"short",
-            part(1, 2, 2),
-            part(1, 0, 0),
-            part(1, 0, MOST_PARTS + 1),
-            part(1, 9, 3),
+            fragment(1, 2, 2),
+            fragment(1, 0, 0),
+            fragment(1, 0, MAX_FRAGMENTS + 1),
+            fragment(1, 9, 3),
         ],
     )
-    def test_what_is_no_part_is_dropped(self, datagram):
-        assembly = Assembly()
-        assert assembly.take(SENDER, datagram) is None
-        assert not assembly.partial
-
-    def test_what_never_becomes_whole_is_bounded(self):
-        assembly = Assembly()
-        for number in range(3 * MOST_PARTIAL):
-            assembly.take(SENDER, part(number, 0, 2))
-        assert len(assembly.partial) == MOST_PARTIAL
-        newest = 3 * MOST_PARTIAL - 1
-        assert assembly.take(SENDER, part(newest, 1, 2)) == b"xx"
-
-
-class TestNumbers:
-    def test_they_start_anew_after_the_last(self):
+    def test_malformed_fragment_is_dropped(self, datagram):
+        reassembler = PayloadReassembler()
+        assert reassembler.add_fragment(SENDER, datagram) is None
+        assert not reassembler.partial
+
+    def test_incomplete_payloads_are_bounded(self):
+        reassembler = PayloadReassembler()
+        for number in range(3 * MAX_PARTIAL_PAYLOADS):
+            reassembler.add_fragment(SENDER, fragment(number, 0, 2))
+        assert len(reassembler.partial) == MAX_PARTIAL_PAYLOADS
+        newest = 3 * MAX_PARTIAL_PAYLOADS - 1
+        assert reassembler.add_fragment(SENDER, fragment(newest, 1, 2)) == b"xx"
+
+
+class TestPayloadNumbers:
+    def test_numbers_wrap_around(self):
         link = DatagramLink(HOST, 1)
-        link.numbers = datagram_link.NUMBERS - 1
+        link.next_number = datagram_link.PAYLOAD_NUMBERS - 1
         link._datagrams(b"x")
-        assert link.numbers == 0
+        assert link.next_number == 0
--- a/bergamotcourse/tests/transport/test_http_client.py
+++ b/bergamotcourse/tests/transport/test_http_client.py
@@ -8,8 +8,8 @@
 from bergamotcourse.errors import Step
 from bergamotcourse.transport.http import HttpError, HttpRequest, HttpResponse, Sent
 from bergamotcourse.transport.http_client import (
-    Greeting,
     HttpClient,
+    IdentityCheck,
     parse_http_address,
 )
 from bergamotcourse.transport.http_server import HttpServer
@@ -22,7 +22,7 @@
 
 
 class Dialer:
-    """Opens connections in memory and keeps the server's ends."""
+    """Opens connections in memory and keeps their server ends."""
 
     def __init__(self, answers=(), pair=memory_stream_pair):
         self.answers = list(answers)
@@ -45,7 +45,7 @@
     return trio.run(main, clock=clock)
 
 
-def run_virtual(script):
+def run_on_virtual_clock(script):
     return run(script, MockClock(autojump_threshold=0))
 
 
@@ -57,8 +57,14 @@
     raise AssertionError(result)
 
 
-def ask(answer: bytes, request=GET, end=True):
-    """Return the result of a request that gets these bytes, and whether it closed."""
+def request_with_response(answer: bytes, request=GET, end=True):
+    """Return the result of a request, and whether its connection was closed.
+
+    Args:
+        answer: Bytes that the server sends.
+        request: The request.
+        end: Whether the server ends its stream after the request.
+    """
 
     async def script():
         dialer = Dialer([answer])
@@ -77,11 +83,11 @@
         assert len(client.idle) == (0 if closed else 1)
         return result, closed
 
-    return run_virtual(script)
+    return run_on_virtual_clock(script)
 
 
 async def is_closed(server) -> bool:
-    """Return whether the client has closed its end, after what it sent."""
+    """Return whether the client closes its end; discard what it has sent."""
     with trio.move_on_after(1):
         while await server.receive_some():
             pass
@@ -110,8 +116,10 @@
             ),
         ],
     )
-    def test_whole(self, answer, method, body, closed):
-        result, was_closed = ask(answer, HttpRequest(method, "/a"), end=False)
+    def test_complete_response_is_returned(self, answer, method, body, closed):
+        result, was_closed = request_with_response(
+            answer, HttpRequest(method, "/a"), end=False
+        )
         assert result.ok.body == body
         assert was_closed is closed
 
@@ -127,12 +135,12 @@
             b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nab",
         ],
     )
-    def test_broken_is_an_error_and_closes(self, answer):
-        result, closed = ask(answer)
+    def test_broken_response_is_an_error_and_closes(self, answer):
+        result, closed = request_with_response(answer)
         assert error_of(result) == (Step.RECEIVE, Sent.MAYBE)
         assert closed
 
-    def test_request_on_the_wire(self):
+    def test_request_is_encoded_with_own_framing_headers(self):
         async def script():
             dialer = Dialer([OK])
             client = HttpClient("a", 1, connect=dialer.connect)
@@ -144,7 +152,7 @@
             await client.request(HttpRequest("POST", "/a?b", headers, b"abc"), TIMEOUT)
             return await dialer.servers[0].receive_some()
 
-        head, _, body = run_virtual(script).partition(b"\r\n\r\n")
+        head, _, body = run_on_virtual_clock(script).partition(b"\r\n\r\n")
         lines = [b"POST /a?b HTTP/1.1", b"host: a:1", b"x: \xe9", b"content-length: 3"]
         assert head.lower().split(b"\r\n")[1:] == lines[1:]
         assert head.startswith(lines[0])
@@ -152,7 +160,7 @@
 
 
 class TestErrors:
-    def test_refused_connection(self):
+    def test_refused_connection_is_not_sent(self):
         async def script():
             with trio.socket.socket() as socket:
                 await socket.bind(("127.0.0.1", 0))
@@ -162,7 +170,7 @@
         error = run(script)
         assert (error.step, error.sent) == (Step.CONNECT, Sent.NOTHING)
 
-    def test_request_that_cannot_be_sent(self):
+    def test_invalid_header_is_not_sent(self):
         async def script():
             client = HttpClient("a", 1, connect=Dialer().connect)
             request = HttpRequest("GET", "/a", [("x", "a\r\nb")])
@@ -170,7 +178,7 @@
 
         assert error_of(run(script)) == (Step.SEND, Sent.NOTHING)
 
-    def test_closed_client(self):
+    def test_closed_client_sends_nothing(self):
         async def script():
             client = HttpClient("a", 1, connect=Dialer().connect)
             await client.aclose()
@@ -178,20 +186,20 @@
 
         assert error_of(run(script)) == (Step.CONNECT, Sent.NOTHING)
 
-    def test_timeout_in_connect(self):
+    def test_timeout_in_connect_is_not_sent(self):
         async def connect(host, port):
             await trio.sleep_forever()
 
         async def script():
             return await HttpClient("a", 1, connect=connect).request(GET, TIMEOUT)
 
-        assert error_of(run_virtual(script)) == (Step.CONNECT, Sent.NOTHING)
+        assert error_of(run_on_virtual_clock(script)) == (Step.CONNECT, Sent.NOTHING)
 
     @pytest.mark.parametrize(
         ("pair", "step"),
         [(memory_stream_pair, Step.RECEIVE), (lockstep_stream_pair, Step.SEND)],
     )
-    def test_timeout_after_sending_began_closes(self, pair, step):
+    def test_timeout_after_sending_began_closes_connection(self, pair, step):
         async def script():
             dialer = Dialer(pair=pair)
             client = HttpClient("a", 1, connect=dialer.connect)
@@ -199,7 +207,7 @@
             assert await is_closed(dialer.servers[0])
             return result
 
-        assert error_of(run_virtual(script)) == (step, Sent.MAYBE)
+        assert error_of(run_on_virtual_clock(script)) == (step, Sent.MAYBE)
 
     def test_failure_of_a_reused_connection_is_not_retried(self):
         async def script():
@@ -213,9 +221,9 @@
             assert len(dialer.servers) == 2
             return result
 
-        assert error_of(run_virtual(script)) == (Step.SEND, Sent.MAYBE)
+        assert error_of(run_on_virtual_clock(script)) == (Step.SEND, Sent.MAYBE)
 
-    def test_cancellation_closes_and_frees_the_slot(self):
+    def test_cancellation_closes_connection_and_frees_slot(self):
         async def script():
             dialer = Dialer([b"", OK])
             client = HttpClient("a", 1, 1, connect=dialer.connect)
@@ -225,22 +233,22 @@
             assert await is_closed(dialer.servers[0])
             return await client.request(GET, TIMEOUT)
 
-        assert run_virtual(script).is_ok()
+        assert run_on_virtual_clock(script).is_ok()
 
 
 class TestPool:
-    def test_waits_in_order_and_times_out_unsent(self):
+    def test_queued_requests_run_in_order_and_time_out_unsent(self):
         async def script():
             dialer = Dialer()
             client = HttpClient("a", 1, 1, connect=dialer.connect)
             results = {}
 
-            async def ask_for(name):
+            async def send_request(name):
                 results[name] = await client.request(HttpRequest("GET", name), TIMEOUT)
 
             async with trio.open_nursery() as nursery:
                 for name in ("/0", "/1", "/2"):
-                    nursery.start_soon(ask_for, name)
+                    nursery.start_soon(send_request, name)
                     await trio.testing.wait_all_tasks_blocked()
                 await trio.sleep(1)
                 await dialer.servers[0].send_all(OK)
@@ -249,7 +257,7 @@
             assert [part in sent for part in (b"/0", b"/1", b"/2")] == [1, 1, 0]
             return results
 
-        results = run_virtual(script)
+        results = run_on_virtual_clock(script)
         assert results["/0"].is_ok()
         assert error_of(results["/1"]) == (Step.RECEIVE, Sent.MAYBE)
         assert error_of(results["/2"]) == (Step.QUEUE, Sent.NOTHING)
@@ -266,13 +274,17 @@
             assert (await client.request(GET, TIMEOUT)).is_ok()
             return len(dialer.servers)
 
-        assert run_virtual(script) == connections
+        assert run_on_virtual_clock(script) == connections
 
-    @pytest.mark.parametrize(("doubts", "connections"), [(False, 2), (True, 3)])
-    def test_a_time_out_may_cast_doubt_on_idle_connections(self, doubts, connections):
+    @pytest.mark.parametrize(("close_idle", "connections"), [(False, 2), (True, 3)])
+    def test_timeout_closes_idle_connections_if_configured(
+        self, close_idle, connections
+    ):
         async def script():
             dialer = Dialer()
-            client = HttpClient("a", 1, connect=dialer.connect, doubts_idle=doubts)
+            client = HttpClient(
+                "a", 1, connect=dialer.connect, close_idle_on_timeout=close_idle
+            )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(client.request, GET, TIMEOUT)
                 nursery.start_soon(client.request, GET, TIMEOUT)
@@ -284,7 +296,7 @@
             await client.request(GET, TIMEOUT)
             return len(dialer.servers)
 
-        assert run_virtual(script) == connections
+        assert run_on_virtual_clock(script) == connections
 
     def test_aclose_closes_idle_connections(self):
         async def script():
@@ -294,7 +306,7 @@
             await client.aclose()
             return await is_closed(dialer.servers[0])
 
-        assert run_virtual(script)
+        assert run_on_virtual_clock(script)
 
 
 @asynccontextmanager
@@ -307,19 +319,19 @@
         nursery.cancel_scope.cancel()
 
 
-async def tell_connection(request):
+async def return_connection_number(request):
     return HttpResponse(200, body=f"{request.connection} {request.target}".encode())
 
 
 class TestWithServer:
-    def test_reuses_connections_and_keeps_answers_apart(self):
+    def test_concurrent_callers_share_connections_and_get_own_responses(self):
         seen = []
 
         async def script():
-            async with open_server(tell_connection) as server:
+            async with open_server(return_connection_number) as server:
                 client = HttpClient(server.host, server.port, connections=4)
 
-                async def ask_often(caller):
+                async def send_requests(caller):
                     for turn in range(20):
                         request = HttpRequest("GET", f"/{caller}/{turn}")
                         match await client.request(request, TIMEOUT):
@@ -329,7 +341,7 @@
 
                 async with trio.open_nursery() as nursery:
                     for caller in range(8):
-                        nursery.start_soon(ask_often, caller)
+                        nursery.start_soon(send_requests, caller)
                 await client.aclose()
 
         run(script)
@@ -337,7 +349,7 @@
         assert all(own for _, own in seen)
         assert len({connection for connection, _ in seen}) <= 4
 
-    def test_notices_that_the_server_closed_an_idle_connection(self):
+    def test_idle_connection_closed_by_server_is_not_reused(self):
         async def script():
             server = await trio.open_tcp_listeners(0, host="127.0.0.1")
             client = HttpClient("127.0.0.1", server[0].socket.getsockname()[1])
@@ -346,7 +358,7 @@
                     results = []
 
                     @nursery.start_soon
-                    async def ask_once(results=results):
+                    async def send_request(results=results):
                         results.append(await client.request(GET, TIMEOUT))
 
                     stream = await server[0].accept()
@@ -371,19 +383,19 @@
             ("http://[::1]:80/", ("::1", 80)),
         ],
     )
-    def test_parsed(self, url, address):
+    def test_valid_address_is_parsed(self, url, address):
         assert parse_http_address(url) == address
 
     @pytest.mark.parametrize(
         "url", ["https://10.0.0.1", "10.0.0.1:80", "http://", "http://a:b", ""]
     )
-    def test_refused(self, url):
+    def test_invalid_address_is_refused(self, url):
         with pytest.raises(ValueError):
             parse_http_address(url)
 
 
 class TestIsReadable:
-    def test_a_closed_socket_counts_as_readable(self):
+    def test_closed_socket_counts_as_readable(self):
         async def main():
             one, other = trio.socket.socketpair()
             with one, other:
@@ -394,24 +406,24 @@
         trio.run(main)
 
 
-class TestGreeting:
-    """What a server has to answer on each connection before it is used."""
+class TestIdentityCheck:
+    """The request that checks the identity of the server on each new connection."""
 
-    def ask_twice(self, accepted, answer=b"hi"):
-        """Return the bodies of two answers and the targets of all requests."""
+    def send_two_requests(self, accepted, answer=b"hi"):
+        """Return the statuses of two responses and the targets of all requests."""
         targets = []
 
         async def handle(request):
             targets.append(request.target)
             return HttpResponse(200, [], answer)
 
-        def refusal(response):
+        def check_response(response):
             return None if accepted else HttpResponse(421, [], response.body)
 
         async def script():
             server = HttpServer("127.0.0.1", 0, handle)
-            greeting = Greeting(HttpRequest("GET", "/who"), refusal)
-            client = HttpClient("127.0.0.1", 0, greeting=greeting)
+            identity_check = IdentityCheck(HttpRequest("GET", "/who"), check_response)
+            client = HttpClient("127.0.0.1", 0, identity_check=identity_check)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(server.run)
                 await server.wait_open()
@@ -423,8 +435,11 @@
 
         return run(script), targets
 
-    def test_is_exchanged_once_on_a_connection(self):
-        assert self.ask_twice(accepted=True) == ([200, 200], ["/who", "/a", "/a"])
+    def test_check_runs_once_for_each_connection(self):
+        assert self.send_two_requests(accepted=True) == (
+            [200, 200],
+            ["/who", "/a", "/a"],
+        )
 
-    def test_nothing_follows_a_refusal(self):
-        assert self.ask_twice(accepted=False) == ([421, 421], ["/who", "/who"])
+    def test_request_is_not_sent_after_failed_check(self):
+        assert self.send_two_requests(accepted=False) == ([421, 421], ["/who", "/who"])
--- a/bergamotcourse/tests/transport/test_http_server.py
+++ b/bergamotcourse/tests/transport/test_http_server.py
@@ -20,10 +20,10 @@
 POST = b"POST /a HTTP/1.1\r\nhost: a\r\n"
 CHUNKED = POST + b"transfer-encoding: chunked\r\n\r\n"
 FLOOD = 5000
-"""Requests that are more than a connection keeps ahead."""
+"""Pipelined requests, whose bytes exceed ``PIPELINE_BYTES``."""
 
 LIMITS = ServerLimits(header_bytes=200, body_bytes=10, connections=1)
-BAD_ANSWERS = {
+EDGE_CASE_RESPONSES = {
     "/204": HttpResponse(204, body=b"dropped"),
     "/framing": HttpResponse(200, [("Content-Length", "99"), ("Connection", "x")]),
     "/header": HttpResponse(200, [("x", "a\r\nb")]),
@@ -39,8 +39,8 @@
     if request.target == "/group":
         async with trio.open_nursery():
             raise RuntimeError("fault of a task of the handler")
-    if request.target in BAD_ANSWERS:
-        return BAD_ANSWERS[request.target]
+    if request.target in EDGE_CASE_RESPONSES:
+        return EDGE_CASE_RESPONSES[request.target]
     text = f"{request.method} {request.target} {request.body.decode()}"
     return HttpResponse(200, [("x-peer", request.peer)], text.encode())
 
@@ -63,7 +63,7 @@
 
 
 def converse(script, handler=echo, limits=LIMITS, pair=memory_stream_pair):
-    """Run a script against one connection in memory, on a virtual clock."""
+    """Run a script against one connection in memory on a virtual clock."""
 
     async def main():
         client, server = pair()
@@ -77,7 +77,7 @@
 
 
 def exchange(sent: bytes, end: bool = False, **options) -> bytes:
-    """Return all that the server answers, until it closes."""
+    """Return all bytes that the server sends until it closes."""
 
     async def script(client, connection):
         await client.send_all(sent)
@@ -121,7 +121,7 @@
             ),
         ],
     )
-    def test_body_and_keep_alive(self, sent, body):
+    def test_body_is_echoed_and_connection_kept(self, sent, body):
         answer = exchange(sent + LAST_GET)
         assert statuses(answer) == [200, 200]
         assert b"content-length: %d\r\n\r\n%sHTTP/" % (len(body), body) in answer
@@ -139,7 +139,7 @@
             ("/group", 500, b"application/problem+json", b"fault"),
         ],
     )
-    def test_odd_answers_keep_the_connection(
+    def test_invalid_response_or_failed_handler_keeps_connection(
         self, target, status, present, absent, caplog
     ):
         answer = exchange(GET.replace(b"/a", target.encode()) + LAST_GET)
@@ -151,7 +151,7 @@
             ["ERROR"] if status == 500 else []
         )
 
-    def test_answer_of_a_wrong_type_ends_only_its_connection(self, caplog):
+    def test_response_of_wrong_type_closes_only_its_connection(self, caplog):
         async def handler(request):
             return "text"
 
@@ -161,17 +161,17 @@
     @pytest.mark.parametrize(
         "sent", [GET.replace(b"/a", b"/close") + GET, GET.replace(b"1.1", b"1.0") + GET]
     )
-    def test_close_after_answer(self, sent):
+    def test_connection_closes_after_response(self, sent):
         answer = exchange(sent)
         assert statuses(answer) == [200]
         assert b"connection: close" in answer.lower()
 
-    def test_head_has_length_and_no_body(self):
+    def test_head_response_has_length_and_no_body(self):
         answer = exchange(LAST_GET.replace(b"GET", b"HEAD"))
         assert b"content-length: 11\r\n" in answer
         assert answer.endswith(b"\r\n\r\n")
 
-    def test_peer_and_connection_are_told(self):
+    def test_handler_gets_peer_and_connection_number(self):
         seen = []
 
         async def handler(request):
@@ -182,7 +182,7 @@
         assert seen == [("peer", 7, "a")] * 2
 
     @pytest.mark.parametrize("wait", [True, False])
-    def test_expect_continue(self, wait):
+    def test_expect_continue_is_sent_only_if_body_is_missing(self, wait):
         async def script(client, connection):
             head = POST + b"expect: 100-continue\r\ncontent-length: 3\r\n\r\n"
             await client.send_all(head if wait else head + b"abc")
@@ -194,7 +194,7 @@
 
         assert converse(script) == ([100, 200] if wait else [200])
 
-    def test_pipelined_requests_in_order(self):
+    def test_pipelined_requests_are_answered_in_order(self):
         async def handler(request):
             await trio.sleep(10 if request.target == "/a" else 1)
             return await echo(request)
@@ -202,7 +202,7 @@
         answer = exchange(GET + GET.replace(b"/a", b"/b") + LAST_GET, handler=handler)
         assert re.findall(rb"GET (/\w+) ", answer) == [b"/a", b"/b", b"/last"]
 
-    def test_pipelined_flood_is_bounded_and_answered(self):
+    def test_pipelined_flood_is_buffered_in_bounds_and_answered(self):
         async def handler(request):
             await trio.sleep(0.1)
             return HttpResponse(200)
@@ -239,7 +239,7 @@
             (GET[:3], False, 408),
         ],
     )
-    def test_problem_then_close(self, sent, end, status):
+    def test_bad_request_gets_problem_then_close(self, sent, end, status):
         calls = []
         answer = exchange(sent, end, handler=calls.append)
         assert statuses(answer) == [status]
@@ -248,11 +248,11 @@
         assert b'"status":%d' % status in answer
         assert calls == []
 
-    def test_client_that_says_nothing_is_told_nothing(self):
+    def test_client_that_sends_nothing_gets_no_response(self):
         assert exchange(b"", end=True) == b""
 
 
-class TestTimes:
+class TestTimeouts:
     @pytest.mark.parametrize(
         ("sent", "seconds"),
         [
@@ -262,7 +262,7 @@
             (POST + b"content-length: 3\r\n\r\nab", LIMITS.body_seconds),
         ],
     )
-    def test_slow_client(self, sent, seconds):
+    def test_slow_client_is_closed_after_timeout(self, sent, seconds):
         async def script(client, connection):
             start = trio.current_time()
             await client.send_all(sent)
@@ -271,7 +271,7 @@
 
         assert converse(script) == pytest.approx(seconds)
 
-    def test_trickle_does_not_extend_the_header_time(self):
+    def test_trickled_headers_do_not_extend_timeout(self):
         async def script(client, connection):
             async with trio.open_nursery() as nursery:
 
@@ -287,7 +287,7 @@
 
         assert statuses(converse(script)) == [408]
 
-    def test_client_that_reads_nothing_is_closed(self):
+    def test_client_that_does_not_read_is_closed(self):
         async def script(client, connection):
             await client.send_all(GET)
             await trio.sleep(LIMITS.write_seconds + 1)
@@ -298,14 +298,14 @@
 
 
 class TestDisconnect:
-    def test_end_of_stream_cancels_too(self):
+    def test_end_of_stream_cancels_handler(self):
         async def handler(request):
             await trio.sleep_forever()
 
         assert exchange(GET, end=True, handler=handler) == b""
 
     @pytest.mark.parametrize("ahead", [b"", GET])
-    def test_cancels_the_handler(self, ahead):
+    def test_disconnect_cancels_handler(self, ahead):
         events = []
 
         async def handler(request):
@@ -325,13 +325,13 @@
         assert events == ["started", "cancelled"]
 
 
-class TestLeave:
-    def test_idle_connection_is_served_once_more(self):
+class TestCloseAfterNextResponses:
+    def test_idle_connection_gets_one_more_response(self):
         async def script(server):
             client = await dial(server)
             await client.send_all(GET)
             assert b"connection: close" not in await read_until(client, b"GET /a ")
-            server.begin_leave()
+            server.close_after_next_responses()
             await trio.sleep(STOP_GRACE_SECONDS * 2)
             await client.send_all(GET)
             answer = await read_all(client)
@@ -341,9 +341,9 @@
 
         serve(script, echo, ServerLimits())
 
-    def test_new_connection_is_served_once(self):
+    def test_new_connection_gets_one_response(self):
         async def script(server):
-            server.begin_leave()
+            server.close_after_next_responses()
             client = await dial(server)
             await client.send_all(GET + GET)
             assert statuses(await read_all(client)) == [200]
@@ -354,7 +354,7 @@
 
 class TestStop:
     @pytest.mark.parametrize(("delay", "expected"), [(0.2, [200]), (0.3, [])])
-    def test_idle_connection_has_a_grace(self, delay, expected):
+    def test_idle_connection_stays_open_for_grace_time(self, delay, expected):
         async def script(client, connection):
             await trio.testing.wait_all_tasks_blocked()
             connection.begin_stop()
@@ -365,7 +365,7 @@
 
         assert converse(script) == expected
 
-    def test_finishes_requests_and_closes(self):
+    def test_stop_finishes_requests_and_closes_connections(self):
         started, finish = trio.Event(), trio.Event()
 
         async def handler(request):
@@ -392,7 +392,7 @@
 
         serve(script, handler, ServerLimits())
 
-    def test_connection_waiting_in_the_kernel_is_answered(self):
+    def test_connection_queued_in_kernel_is_answered_after_stop(self):
         async def main():
             server = HttpServer("127.0.0.1", 0, echo)
             (listener,) = await server.open()
@@ -410,7 +410,7 @@
 
 
 class TestConnectionLimit:
-    def test_refuses_with_503_and_recovers(self):
+    def test_connection_above_limit_gets_503_until_one_closes(self):
         async def script(server):
             first = await dial(server)
             await first.send_all(GET)
@@ -440,7 +440,7 @@
 class TestFuzz:
     @settings(max_examples=60)
     @given(st.lists(PIECES | st.binary(max_size=30), max_size=6).map(b"".join))
-    def test_any_bytes_leave_the_server_whole(self, noise):
+    def test_server_survives_any_bytes(self, noise):
         async def script(server):
             bad = await dial(server)
             try:
--- a/bergamotcourse/tests/transport/test_memory_link.py
+++ b/bergamotcourse/tests/transport/test_memory_link.py
@@ -49,17 +49,17 @@
 
 
 class TestDelivery:
-    def test_in_order_after_the_delay_and_counted(self):
+    def test_payloads_arrive_in_order_after_delay_and_are_counted(self):
         network = network_of(delay=0.25)
         received = exchange(network, send_numbers)
         assert received == [(number, 0.25) for number in NUMBERS]
         assert (network.sent[A, B].payloads, network.sent[A, B].bytes) == (50, 50)
 
-    def test_pair_delay(self):
+    def test_pair_delay_replaces_delay(self):
         network = network_of(pair_delay=lambda a, b: 2.0 if (a, b) == (A, B) else 0)
         assert {at for _, at in exchange(network, send_numbers)} == {2.0}
 
-    def test_order_is_kept_when_the_delay_falls(self):
+    def test_order_is_kept_when_delay_decreases(self):
         network = network_of(delay=1.0)
 
         async def scenario(link):
@@ -69,7 +69,7 @@
 
         assert payloads(exchange(network, scenario)) == [b"1", b"2"]
 
-    def test_closed_and_unknown_addresses_lose(self):
+    def test_unknown_address_drops_payload_and_closed_links_are_removed(self):
         network = network_of()
 
         async def scenario(link):
@@ -80,7 +80,7 @@
 
 
 class TestFaults:
-    def test_cut_is_for_one_direction_until_healed(self):
+    def test_cut_drops_one_direction_until_healed(self):
         network = network_of()
 
         async def scenario(link):
@@ -93,7 +93,7 @@
 
         assert payloads(exchange(network, scenario)) == [b"1", b"3"]
 
-    def test_cut_all(self):
+    def test_cut_all_drops_everything_until_healed(self):
         network = network_of()
 
         async def scenario(link):
@@ -104,7 +104,7 @@
 
         assert payloads(exchange(network, scenario)) == [b"2"]
 
-    def test_frozen_receiver_gets_all_in_order_on_thaw(self):
+    def test_frozen_receiver_gets_payloads_in_order_after_thaw(self):
         network = network_of()
 
         async def scenario(link):
@@ -115,7 +115,7 @@
 
         assert exchange(network, scenario) == [(number, 5.0) for number in NUMBERS]
 
-    def test_loss_duplicates_and_reordering_repeat_with_the_seed(self):
+    def test_same_seed_repeats_loss_duplicates_and_reordering(self):
         runs = [
             exchange(network_of(loss=0.2, duplicate=0.2, reorder=0.1), send_numbers)
             for _ in range(2)
--- a/bergamotcourse/tests/transport/test_nng_link.py
+++ b/bergamotcourse/tests/transport/test_nng_link.py
@@ -10,7 +10,7 @@
 from bergamotcourse.errors import BergamotcourseError, Step
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.transport import nng_link
-from bergamotcourse.transport.nng_link import THREADS, NngLink
+from bergamotcourse.transport.nng_link import NNG_THREADS, NngLink
 
 HOST = "127.0.0.1"
 LIMIT = 10
@@ -40,15 +40,15 @@
     trio.run(scenario)
 
 
-def absent_address():
-    """Return an address that is bound, so that nobody else listens on it."""
+def bind_without_listening():
+    """Return a bound socket and its address, on which nothing else can listen."""
     holder = socket.socket()
     holder.bind((HOST, 0))
     return holder, LinkAddress(f"tcp://{HOST}:{holder.getsockname()[1]}")
 
 
 class TestDelivery:
-    def test_payloads_of_a_peer_arrive_whole_and_in_order(self):
+    def test_payloads_arrive_intact_and_in_order(self):
         async def scenario():
             async with opened() as a, opened() as b:
                 sizes = [0, 1, 100, 1 << 20, 3, *range(200)]
@@ -58,7 +58,7 @@
 
         run(scenario)
 
-    def test_a_burst_beyond_the_buffer_waits_for_the_receiver(self):
+    def test_burst_above_buffer_waits_for_receiver(self):
         count = 2000
 
         async def send_all(link, peer):
@@ -78,7 +78,7 @@
 
         run(scenario)
 
-    def test_many_senders_to_one_peer(self):
+    def test_concurrent_senders_to_one_peer_lose_nothing(self):
         async def send(link, peer, number):
             assert (await link.send(peer, bytes([number]))).is_ok()
 
@@ -92,7 +92,7 @@
 
         run(scenario)
 
-    def test_a_forgotten_peer_is_dialled_anew(self):
+    def test_forgotten_peer_is_dialled_again(self):
         async def scenario():
             async with opened() as a, opened() as b:
                 for payload in (b"1", b"2"):
@@ -104,12 +104,12 @@
         run(scenario)
 
 
-class TestAbsentPeer:
-    def test_a_full_buffer_refuses_after_the_timeout(self, monkeypatch):
-        monkeypatch.setattr(nng_link, "SEND_TIMEOUT", 0.05)
+class TestUnreachablePeer:
+    def test_send_to_full_buffer_fails_after_timeout(self, monkeypatch):
+        monkeypatch.setattr(nng_link, "SEND_TIMEOUT_SECONDS", 0.05)
 
         async def scenario():
-            holder, peer = absent_address()
+            holder, peer = bind_without_listening()
             with holder:
                 async with opened(buffer=2) as link:
                     results = [await link.send(peer, b"x") for _ in range(3)]
@@ -118,7 +118,7 @@
 
         run(scenario)
 
-    def test_forget_ends_a_waiting_send(self):
+    def test_forget_fails_waiting_send(self):
         results = []
 
         async def send_twice(link, peer):
@@ -126,7 +126,7 @@
                 results.append(await link.send(peer, b"x"))
 
         async def scenario():
-            holder, peer = absent_address()
+            holder, peer = bind_without_listening()
             with holder:
                 async with opened(buffer=1) as link, trio.open_nursery() as nursery:
                     nursery.start_soon(send_twice, link, peer)
@@ -138,7 +138,7 @@
 
         run(scenario)
 
-    def test_a_peer_that_comes_back_receives_again(self):
+    def test_restarted_peer_receives_again(self):
         async def scenario():
             async with opened() as a:
                 async with opened() as b:
@@ -157,7 +157,7 @@
 
 class TestBadInput:
     @pytest.mark.parametrize("peer", ["", "ipc:///tmp/x", "tcp://x", "tcp://\0:1"])
-    def test_an_address_that_is_none_is_refused(self, peer):
+    def test_invalid_address_is_refused(self, peer):
         async def scenario():
             async with opened() as link:
                 result = await link.send(LinkAddress(peer), b"x")
@@ -166,7 +166,7 @@
 
         run(scenario)
 
-    def test_a_payload_over_the_limit_is_refused(self):
+    def test_payload_above_limit_is_refused(self):
         async def scenario():
             async with opened(message_bytes=100) as a, opened(message_bytes=100) as b:
                 assert (await a.send(b.address, b"x" * 101)).is_error()
@@ -175,7 +175,7 @@
 
         run(scenario)
 
-    def test_bytes_that_are_not_nng_disturb_nobody(self):
+    def test_garbage_bytes_do_not_disturb_other_peers(self):
         async def scenario():
             async with opened() as a, opened() as b:
                 port = int(b.address.rpartition(":")[2])
@@ -193,7 +193,7 @@
 
         run(scenario)
 
-    def test_an_address_in_use_is_an_error_of_this_step(self):
+    def test_address_in_use_is_an_error_of_connect(self):
         async def scenario():
             async with opened() as link:
                 port = int(link.address.rpartition(":")[2])
@@ -205,7 +205,7 @@
 
 
 class TestThreads:
-    def test_the_number_does_not_rise_with_the_cores(self):
+    def test_thread_count_does_not_grow_with_cores(self):
         program = """
 import os, trio
 from bergamotcourse.transport.nng_link import NngLink
@@ -220,5 +220,5 @@
 """
         command = [sys.executable, "-c", program]
         result = subprocess.run(command, capture_output=True, text=True, timeout=60)
-        others = 2  # Python's own and nng's reaper.
-        assert int(result.stdout) <= sum(THREADS.values()) + others, result.stderr
+        others = 2  # Python's main thread and nng's reaper.
+        assert int(result.stdout) <= sum(NNG_THREADS.values()) + others, result.stderr
--- a/bergamotcourse/transport/__init__.py
+++ b/bergamotcourse/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Moving bytes: HTTP connections and links between processes."""
+"""Transports: HTTP connections and message links between processes."""
--- a/bergamotcourse/transport/datagram_link.py
+++ b/bergamotcourse/transport/datagram_link.py
@@ -1,8 +1,8 @@
 """A link over UDP: one socket for all peers, and no connections.
 
-Load it answers: hundreds of peers that exchange small messages several times a second,
-and that all start anew at once. There is nothing to connect, so a peer that comes back
-is reached with the first message, and one that is away costs a datagram.
+It is meant for hundreds of peers that exchange small messages several times a second
+and may all restart at once. There is no connection to establish, so a restarted peer is
+reached with the first message, and an unreachable one costs one datagram.
 """
 
 import random
@@ -16,92 +16,101 @@
 
 from bergamotcourse.errors import BergamotcourseError, Step, StepError
 from bergamotcourse.ids import LinkAddress
-from bergamotcourse.transport.receive_turns import ReceiveTurns
+from bergamotcourse.transport.receive_turns import ReceiveBudget
 
 SCHEME = "udp://"
 
-PART_BYTES = 8192
-"""Of a payload in one datagram; a larger payload travels in parts, and is lost with any
-of them. Most messages have a few hundred bytes; a configuration has up to 256 kB."""
+FRAGMENT_BYTES = 8192
+"""Bytes of a payload in one datagram. A larger payload is split into fragments and is
+lost if any of them is lost. Most messages have a few hundred bytes; a configuration has
+up to 256 kB."""
 
-MOST_PARTS = 128
-"""Of one payload, 1 MiB: four times the largest configuration."""
+MAX_FRAGMENTS = 128
+"""Fragments of one payload, together 1 MiB: four times the largest configuration."""
 
-MOST_PARTIAL = 64
-"""Payloads of which parts are missing; beyond it the oldest are dropped, as a part of
-each was lost."""
+MAX_PARTIAL_PAYLOADS = 64
+"""Incomplete payloads kept for reassembly; above it the oldest is dropped, as one of
+its fragments was lost."""
 
 RECEIVE_BUFFER_BYTES = 1 << 20
-"""Asked of the kernel: what 200 peers send while this process waits for its turn."""
+"""Size of the socket's receive buffer: it holds what 200 peers send while this process
+waits to be scheduled."""
 
-SEND_TIMEOUT = 0.1
-"""Seconds that a send waits for room in the kernel's buffer; what it carries is sent
-again by then, as it is when a datagram is lost."""
+SEND_TIMEOUT_SECONDS = 0.1
+"""Longest wait for space in the kernel's send buffer; by then the layer above
+retransmits the message, as it does when a datagram is lost."""
 
-HEADER = struct.Struct("!IHH")
-"""Number of the payload, index of the part, number of parts."""
+FRAGMENT_HEADER = struct.Struct("!IHH")
+"""Number of the payload, index of the fragment, number of fragments."""
 
-NUMBERS = 1 << 32
+PAYLOAD_NUMBERS = 1 << 32
+"""Payload numbers wrap around to 0 at this value."""
 
 SENT = Ok(None)
-"""Made once, as it would be made for each payload."""
+"""Shared result of each successful send, to save an allocation for each payload."""
 
 
 @dataclass
-class Partial:
-    """A payload of which parts are missing."""
+class PartialPayload:
+    """A payload of which fragments are missing."""
 
     count: int
-    parts: dict[int, bytes] = field(default_factory=dict)
+    fragments: dict[int, bytes] = field(default_factory=dict)
 
-    def whole(self) -> bytes | None:
-        """Return the payload once no part is missing."""
-        if len(self.parts) < self.count:
+    def join_if_complete(self) -> bytes | None:
+        """Return the payload, or ``None`` while a fragment is missing."""
+        if len(self.fragments) < self.count:
             return None
-        return b"".join(self.parts[index] for index in range(self.count))
+        return b"".join(self.fragments[index] for index in range(self.count))
 
 
-class Assembly:
-    """Puts payloads together from their parts.
+class PayloadReassembler:
+    """Reassembles payloads from their fragments.
 
     Attributes:
-        partial: By sender and number, the oldest first.
+        partial: Incomplete payloads by sender, payload number and number of fragments,
+            the oldest first.
     """
 
     def __init__(self):
-        self.partial: OrderedDict[tuple, Partial] = OrderedDict()
+        self.partial: OrderedDict[tuple, PartialPayload] = OrderedDict()
 
-    def take(self, sender: tuple, datagram: bytes) -> bytes | None:
-        """Take a datagram; return a payload if that is whole now."""
-        if len(datagram) < HEADER.size:
+    def add_fragment(self, sender: tuple, datagram: bytes) -> bytes | None:
+        """Add a fragment; return its payload if that is now complete.
+
+        Malformed datagrams are dropped.
+        """
+        if len(datagram) < FRAGMENT_HEADER.size:
             return None
-        number, index, count = HEADER.unpack_from(datagram)
-        part = datagram[HEADER.size :]
+        number, index, count = FRAGMENT_HEADER.unpack_from(datagram)
+        fragment = datagram[FRAGMENT_HEADER.size :]
         if count == 1:
-            return part
-        if not index < count <= MOST_PARTS:
+            return fragment
+        if not index < count <= MAX_FRAGMENTS:
             return None
-        return self._add((sender, number, count), index, part)
+        return self._add((sender, number, count), index, fragment)
 
-    def _add(self, key: tuple, index: int, part: bytes) -> bytes | None:
-        partial = self.partial.setdefault(key, Partial(key[-1]))
-        partial.parts[index] = part
-        payload = partial.whole()
+    def _add(self, key: tuple, index: int, fragment: bytes) -> bytes | None:
+        partial = self.partial.setdefault(key, PartialPayload(key[-1]))
+        partial.fragments[index] = fragment
+        payload = partial.join_if_complete()
         if payload is not None:
             del self.partial[key]
-        elif len(self.partial) > MOST_PARTIAL:
+        elif len(self.partial) > MAX_PARTIAL_PAYLOADS:
             self.partial.popitem(last=False)
         return payload
 
 
 class DatagramLink:
-    """A ``Link`` over UDP. Payloads may be lost, doubled, or overtake each other.
+    """A ``Link`` over UDP; payloads may be lost, duplicated or reordered.
 
     Attributes:
-        address: Where this process receives; final once the link is open.
-        numbers: Number of the next payload; a new process begins at random, so that
-            its parts are not taken for those of the one before.
-        dropped: Payloads that the kernel had no room for, or no way to the peer.
+        address: Address on which this process receives; final once the link is open.
+        next_number: Number of the next payload. It starts at random, so that the
+            fragments of a restarted process are not mixed with those of its
+            predecessor.
+        dropped: Payloads that could not be sent, because the kernel's buffer was full,
+            the peer was unreachable, or the address or the size was invalid.
     """
 
     def __init__(self, host: str, port: int, rng: random.Random | None = None):
@@ -110,17 +119,17 @@
         self.address = LinkAddress(f"{SCHEME}{host}:{port}")
         self.socket: socket.socket | None = None
         self.opened = trio.Event()
-        self.numbers = (rng or random.Random()).randrange(NUMBERS)
+        self.next_number = (rng or random.Random()).randrange(PAYLOAD_NUMBERS)
         self.peers: dict[LinkAddress, tuple[str, int]] = {}
-        self.assembly = Assembly()
+        self.reassembler = PayloadReassembler()
         self.dropped = 0
-        self.turns = ReceiveTurns()
+        self.receive_budget = ReceiveBudget()
 
     async def run(self) -> None:
         """Open the link and serve it until cancelled.
 
         Raises:
-            BergamotcourseError: The address cannot be received on.
+            BergamotcourseError: The address cannot be bound.
         """
         self._open()
         try:
@@ -134,13 +143,13 @@
         await self.opened.wait()
 
     async def send(self, peer: LinkAddress, payload: bytes) -> Result[None, StepError]:
-        """Hand a payload to the kernel.
+        """Send a payload as one or more datagrams.
 
-        An error means that not all of the payload was sent, so it does not arrive.
+        An error means that not all fragments were sent, so the payload does not arrive.
         """
         try:
             for datagram in self._datagrams(payload):
-                await self._send_datagram(datagram, self._where(peer))
+                await self._send_datagram(datagram, self._resolve(peer))
         except (OSError, ValueError) as error:
             self.dropped += 1
             return Error(StepError(Step.SEND, peer, str(error)))
@@ -152,20 +161,20 @@
         Only one task may receive at a time.
 
         Raises:
-            trio.ClosedResourceError: The link has ended.
+            trio.ClosedResourceError: The link is closed.
         """
         if not self.opened.is_set():
             await self.opened.wait()
-        await self.turns.take()
+        await self.receive_budget.spend()
         while True:
-            payload = self._receive_now()
+            payload = self._try_receive()
             if payload is not None:
                 return payload
-            self.turns.end()
+            self.receive_budget.reset()
             await trio.lowlevel.wait_readable(self.socket)
 
     def forget(self, peer: LinkAddress) -> None:
-        """Forget where a peer is; nothing is held for it."""
+        """Drop the parsed address of a peer; no other resource is held for it."""
         self.peers.pop(peer, None)
 
     def _open(self) -> None:
@@ -184,55 +193,60 @@
         self.address = LinkAddress(f"{SCHEME}{self.host}:{self.port}")
         self.opened.set()
 
-    def _where(self, peer: LinkAddress) -> tuple[str, int]:
-        where = self.peers.get(peer)
-        if where is None:
-            where = self.peers[peer] = ip_endpoint(peer)
-        return where
+    def _resolve(self, peer: LinkAddress) -> tuple[str, int]:
+        endpoint = self.peers.get(peer)
+        if endpoint is None:
+            endpoint = self.peers[peer] = parse_endpoint(peer)
+        return endpoint
 
     def _datagrams(self, payload: bytes) -> list[bytes]:
-        count = max(1, -(-len(payload) // PART_BYTES))
-        if count > MOST_PARTS:
-            raise ValueError(f"{len(payload)} bytes, at most {MOST_PARTS * PART_BYTES}")
-        number = self.numbers
-        self.numbers = (number + 1) % NUMBERS
+        count = max(1, -(-len(payload) // FRAGMENT_BYTES))
+        if count > MAX_FRAGMENTS:
+            raise ValueError(
+                f"{len(payload)} bytes, at most {MAX_FRAGMENTS * FRAGMENT_BYTES}"
+            )
+        number = self.next_number
+        self.next_number = (number + 1) % PAYLOAD_NUMBERS
         return [
-            HEADER.pack(number, index, count)
-            + payload[index * PART_BYTES : (index + 1) * PART_BYTES]
+            FRAGMENT_HEADER.pack(number, index, count)
+            + payload[index * FRAGMENT_BYTES : (index + 1) * FRAGMENT_BYTES]
             for index in range(count)
         ]
 
-    async def _send_datagram(self, datagram: bytes, where: tuple[str, int]) -> None:
+    async def _send_datagram(self, datagram: bytes, endpoint: tuple[str, int]) -> None:
         await trio.lowlevel.checkpoint_if_cancelled()
         try:
-            self.socket.sendto(datagram, where)
+            self.socket.sendto(datagram, endpoint)
         except BlockingIOError:
-            with trio.move_on_after(SEND_TIMEOUT):
+            with trio.move_on_after(SEND_TIMEOUT_SECONDS):
                 await trio.lowlevel.wait_writable(self.socket)
-            self.socket.sendto(datagram, where)
+            self.socket.sendto(datagram, endpoint)
 
-    def _receive_now(self) -> bytes | None:
-        """Return a payload that is there, or ``None`` if there is none."""
+    def _try_receive(self) -> bytes | None:
+        """Return a payload without waiting, or ``None`` if none is complete."""
         while True:
             try:
-                datagram, sender = self.socket.recvfrom(PART_BYTES + HEADER.size)
+                datagram, sender = self.socket.recvfrom(
+                    FRAGMENT_BYTES + FRAGMENT_HEADER.size
+                )
             except BlockingIOError:
                 return None
             except OSError:
                 if self.socket.fileno() < 0:
                     raise trio.ClosedResourceError from None
-                # A datagram sent before found nobody there; the next call goes on.
+                # An earlier datagram was sent to a closed port, which the kernel
+                # reports here. The next call continues to receive.
                 continue
-            payload = self.assembly.take(sender, datagram)
+            payload = self.reassembler.add_fragment(sender, datagram)
             if payload is not None:
                 return payload
 
 
-def ip_endpoint(peer: LinkAddress) -> tuple[str, int]:
-    """Return the IP number and the port of a peer.
+def parse_endpoint(peer: LinkAddress) -> tuple[str, int]:
+    """Return the IP address and the port of a peer.
 
     Raises:
-        ValueError: It is not an address of this link.
+        ValueError: The address is not of the form ``udp://IP:PORT``.
     """
     host, separator, port = peer.removeprefix(SCHEME).rpartition(":")
     if not peer.startswith(SCHEME) or not separator:
--- a/bergamotcourse/transport/http.py
+++ b/bergamotcourse/transport/http.py
@@ -10,11 +10,11 @@
 
 
 class Sent(Enum):
-    """How much of a request had left when an error arose.
+    """Whether a failed request may have reached the server.
 
     Attributes:
-        NOTHING: Not one byte was written: the request did not reach the server.
-        MAYBE: The server may have the request.
+        NOTHING: No byte was written, so the request did not reach the server.
+        MAYBE: The server may have received the request.
     """
 
     NOTHING = "nothing"
@@ -23,21 +23,25 @@
 
 @dataclass(frozen=True)
 class HttpError(StepError):
-    """An error of the HTTP client, with what may have reached the server."""
+    """An error of the HTTP client.
+
+    Attributes:
+        sent: Whether the request may have reached the server.
+    """
 
     sent: Sent = Sent.MAYBE
 
 
 @dataclass
 class HttpRequest:
-    """One whole request.
+    """A complete request.
 
     Attributes:
-        method: The method, upper case.
+        method: The method, in upper case.
         target: Path and query.
-        headers: Names in lower case.
-        body: The whole body.
-        peer: Where the request came from; empty for a request to be sent.
+        headers: Pairs of name and value; names of received headers are in lower case.
+        body: The complete body.
+        peer: Address of the client; empty for a request to be sent.
         connection: Number of the connection it came on, unique in the process.
     """
 
@@ -49,7 +53,7 @@
     connection: int = 0
 
     def header(self, name: str, default: str = "") -> str:
-        """Return the first value of a header, by its name in lower case."""
+        """Return the first value of a header, given its name in lower case."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -58,10 +62,10 @@
 
 @dataclass
 class HttpResponse:
-    """One whole response.
+    """A complete response.
 
     Attributes:
-        close: Close the connection after this answer.
+        close: Whether the server closes the connection after this response.
     """
 
     status: int
@@ -71,4 +75,4 @@
 
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
-"""Answers one request; cancelled when the caller goes away."""
+"""Handles one request; cancelled when the client disconnects."""
--- a/bergamotcourse/transport/http_client.py
+++ b/bergamotcourse/transport/http_client.py
@@ -30,42 +30,46 @@
 
 
 @dataclass(frozen=True)
-class Greeting:
-    """What a server has to answer on each new connection before it is used.
+class IdentityCheck:
+    """A request that checks the identity of the server on each new connection.
 
-    A connection ends with the process that accepted it. So once that process has told
-    who it is, whatever is sent on the connection reaches that process or none.
+    A connection ends with the process that accepted it. So once that process has
+    identified itself, later requests on the connection reach that process or none.
 
     Attributes:
         request: Sent first on each new connection.
-        refusal: Given the answer, returns what stands for the answer to each request
-            that was to follow, or ``None`` if the server is the one that is meant.
+        check_response: Given the response, returns ``None`` if the server is the
+            expected one. Otherwise it returns a response that the client returns to
+            its caller, instead of sending the caller's request.
     """
 
     request: HttpRequest
-    refusal: Callable[[HttpResponse], HttpResponse | None]
+    check_response: Callable[[HttpResponse], HttpResponse | None]
 
 
 class ClientConnection:
     """One connection of the pool.
 
     Attributes:
-        stream: The connection's stream.
-        http: The protocol's state.
-        greeted: Its server is known to be the one that is meant.
-        answered: It has carried a request and its response.
-        idle_since: When it was last put back, on trio's clock.
+        stream: The stream to the server.
+        http: The state of the HTTP protocol.
+        identity_checked: Whether the server passed the identity check.
+        used_before: Whether a request on it has got its response.
+        idle_since: When it last became idle, on trio's clock.
     """
 
     def __init__(self, stream: trio.abc.Stream):
         self.stream = stream
         self.http = h11.Connection(h11.CLIENT)
-        self.greeted = False
-        self.answered = False
+        self.identity_checked = False
+        self.used_before = False
         self.idle_since = 0.0
 
     def is_stale(self) -> bool:
-        """Return whether the server has closed the idle connection or sent on it."""
+        """Return whether an idle connection was closed by the server or got data.
+
+        Always false for a stream other than a TCP socket.
+        """
         if isinstance(self.stream, trio.SocketStream):
             return is_readable(self.stream.socket)
         return False
@@ -73,36 +77,39 @@
 
 @dataclass
 class Exchange:
-    """How far one request has come, for the error that may end it.
+    """The progress of one request, reported in an error.
 
     Attributes:
-        reuses: Its connection has carried requests before.
+        head: The head of the request as it is sent.
+        step: What the request is waiting for.
+        sent: Whether the request may have reached the server.
+        uses_reused_connection: Whether its connection has carried requests before.
     """
 
     request: HttpRequest
     head: h11.Request
     step: Step = Step.QUEUE
     sent: Sent = Sent.NOTHING
-    reuses: bool = False
+    uses_reused_connection: bool = False
 
 
 class HttpClient:
     """Sends requests to one server and keeps connections for reuse.
 
-    A request is never sent twice: where a connection fails after the sending began,
-    the error says ``Sent.MAYBE`` and the caller decides.
+    The client never retries a request. If a connection fails after sending began, the
+    error has ``Sent.MAYBE``, and the caller decides whether to retry.
 
     Attributes:
-        host: IP number of the server.
-        port: Its port.
-        idle_seconds: Longest time for which a connection is kept unused.
+        host: IP address of the server.
+        port: TCP port of the server.
+        idle_seconds: Longest time for which an idle connection is kept.
         body_bytes: Largest body of a response; a larger one is an error.
-        peer: The server as errors name it.
-        closed: ``aclose`` was called.
-        doubts_idle: Whether a request that times out ends all idle connections: they
-            may have died with its own, without a sign.
-        greeting: Exchanged on each new connection; ``None`` without one.
-        idle: Connections that wait for reuse, the one used last at the end.
+        peer: The server's ``host:port``, as reported in errors.
+        closed: Whether ``aclose`` was called.
+        close_idle_on_timeout: Whether a request that times out closes all idle
+            connections: they may have broken together with its own, undetected.
+        identity_check: Performed on each new connection; ``None`` for no check.
+        idle: Idle connections, the most recently used last.
     """
 
     def __init__(
@@ -113,8 +120,8 @@
         idle_seconds: float = 30.0,
         body_bytes: int = 16 << 20,
         connect: Connect = trio.open_tcp_stream,
-        greeting: Greeting | None = None,
-        doubts_idle: bool = False,
+        identity_check: IdentityCheck | None = None,
+        close_idle_on_timeout: bool = False,
     ):
         self.host = host
         self.port = port
@@ -122,8 +129,8 @@
         self.body_bytes = body_bytes
         self.peer = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         self.closed = False
-        self.greeting = greeting
-        self.doubts_idle = doubts_idle
+        self.identity_check = identity_check
+        self.close_idle_on_timeout = close_idle_on_timeout
         self._connect = connect
         self._slots = trio.Semaphore(connections)
         self.idle: deque[ClientConnection] = deque()
@@ -131,11 +138,11 @@
     async def request(
         self, request: HttpRequest, timeout: float
     ) -> Result[HttpResponse, HttpError]:
-        """Send a request and return the whole response.
+        """Send a request and return the complete response.
 
         Args:
-            request: The request; headers about the connection are replaced.
-            timeout: Seconds for everything, from the wait for a connection on.
+            request: The request; its ``FRAMING_HEADERS`` are replaced.
+            timeout: Seconds for the whole exchange, with the wait for a connection.
         """
         try:
             head = request_head(request, self.peer)
@@ -144,13 +151,17 @@
         exchange = Exchange(request, head)
         with trio.move_on_after(timeout):
             return await self._run(exchange)
-        if self.doubts_idle:
+        if self.close_idle_on_timeout:
             await self._close_idle()
-        detail = "timed out on a reused connection" if exchange.reuses else "timed out"
+        detail = (
+            "timed out on a reused connection"
+            if exchange.uses_reused_connection
+            else "timed out"
+        )
         return self._error(exchange.step, detail, exchange.sent)
 
     async def aclose(self) -> None:
-        """Close the idle connections now and the busy ones after their response."""
+        """Close idle connections now and busy ones after their response."""
         self.closed = True
         await self._close_idle()
 
@@ -164,10 +175,10 @@
         return Error(HttpError(step, self.peer, detail, sent))
 
     async def _run(self, exchange: Exchange) -> Result[HttpResponse, HttpError]:
-        """Run an exchange and turn whatever ends it into an error value."""
-        await self._take_slot()
+        """Perform an exchange in a slot; return its failure as an error value."""
+        await self._acquire_slot()
         try:
-            return Ok(await self._exchange(exchange))
+            return Ok(await self._perform_exchange(exchange))
         except trio.BrokenResourceError:
             detail = "the connection broke"
         except (OSError, h11.RemoteProtocolError) as error:
@@ -176,21 +187,21 @@
             self._slots.release()
         return self._error(exchange.step, detail, exchange.sent)
 
-    async def _take_slot(self) -> None:
+    async def _acquire_slot(self) -> None:
         try:
-            # Without a turn of the scheduler, which ``acquire`` costs in each case.
+            # ``acquire`` would yield to the scheduler even if a slot is free.
             self._slots.acquire_nowait()
         except trio.WouldBlock:
             await self._slots.acquire()
 
-    async def _exchange(self, exchange: Exchange) -> HttpResponse:
+    async def _perform_exchange(self, exchange: Exchange) -> HttpResponse:
         exchange.step = Step.CONNECT
-        connection = await self._take()
-        exchange.reuses = connection.answered
+        connection = await self._acquire_connection()
+        exchange.uses_reused_connection = connection.used_before
         reusable = False
         try:
-            if self.greeting is not None and not connection.greeted:
-                refusal = await self._greet(connection, self.greeting)
+            if self.identity_check is not None and not connection.identity_checked:
+                refusal = await self._check_identity(connection, self.identity_check)
                 if refusal is not None:
                     return refusal
             await self._send(exchange, connection)
@@ -200,32 +211,33 @@
             if not reusable:
                 await trio.aclose_forcefully(connection.stream)
         if reusable:
-            self._put(connection)
+            self._keep_idle(connection)
         return response
 
-    async def _greet(
-        self, connection: ClientConnection, greeting: Greeting
+    async def _check_identity(
+        self, connection: ClientConnection, identity_check: IdentityCheck
     ) -> HttpResponse | None:
-        """Return the refusal of a server that is not the one that is meant.
+        """Return the refusal if the server is not the expected one, else ``None``.
 
         Raises:
-            OSError: The server keeps no connection open.
+            OSError: The server does not keep the connection open after the check.
+            h11.RemoteProtocolError: The response is malformed or cut short.
         """
-        request = greeting.request
+        request = identity_check.request
         exchange = Exchange(request, request_head(request, self.peer))
         await self._send(exchange, connection)
         response = await self._receive(exchange, connection)
-        refusal = greeting.refusal(response)
+        refusal = identity_check.check_response(response)
         if refusal is None and not self._is_reusable(connection):
-            raise OSError("the server keeps no connection open")
-        connection.greeted = refusal is None
+            raise OSError("the server does not keep connections open")
+        connection.identity_checked = refusal is None
         return refusal
 
-    async def _take(self) -> ClientConnection:
-        """Return the connection used last, or a new one.
+    async def _acquire_connection(self) -> ClientConnection:
+        """Return the most recently used idle connection, or a new one.
 
         Raises:
-            OSError: The server can't be reached, or the client is closed.
+            OSError: The server cannot be reached, or the client is closed.
         """
         if self.closed:
             raise OSError("the client is closed")
@@ -253,7 +265,7 @@
     ) -> HttpResponse:
         exchange.step = Step.RECEIVE
         head = await self._receive_head(connection)
-        check_length(exchange.request.method, head)
+        require_body_length(exchange.request.method, head)
         body = await self._receive_body(connection)
         return HttpResponse(head.status_code, text_headers(head.headers), body)
 
@@ -282,14 +294,14 @@
         http.start_next_cycle()
         return True
 
-    def _put(self, connection: ClientConnection) -> None:
-        connection.answered = True
+    def _keep_idle(self, connection: ClientConnection) -> None:
+        connection.used_before = True
         connection.idle_since = trio.current_time()
         self.idle.append(connection)
 
 
 async def next_event(connection: ClientConnection) -> h11.Event:
-    """Return the next part of a response.
+    """Return the next event of a response, receiving data as needed.
 
     Raises:
         h11.RemoteProtocolError: The response is malformed or cut short.
@@ -303,26 +315,28 @@
         connection.http.receive_data(data)
 
 
-def check_length(method: str, head: h11.Response) -> None:
-    """Refuse a response whose end only the closing of the connection would tell.
+def require_body_length(method: str, head: h11.Response) -> None:
+    """Reject a response whose body is delimited only by the end of the connection.
 
-    A server that dies closes its connections too, so a part of the body could be
-    taken for the whole.
+    A server that crashes closes its connections too, so a truncated body could be
+    mistaken for a complete one.
 
     Raises:
-        h11.RemoteProtocolError: The response has a body of untold length.
+        h11.RemoteProtocolError: The length of the response's body is unknown.
     """
     if method == "HEAD" or head.status_code in BODILESS_STATUSES:
         return
     if not any(name in LENGTH_HEADERS for name, _ in head.headers):
-        raise h11.RemoteProtocolError("the response does not tell its length")
+        raise h11.RemoteProtocolError(
+            "the response has no content-length or transfer-encoding"
+        )
 
 
 def parse_http_address(url: str) -> tuple[str, int]:
     """Return the host and port of ``http://IP:PORT``.
 
     Raises:
-        ValueError: The URL is of another form.
+        ValueError: The URL is not of this form.
     """
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname:
--- a/bergamotcourse/transport/http_connection.py
+++ b/bergamotcourse/transport/http_connection.py
@@ -1,4 +1,4 @@
-"""The server's side of one HTTP connection."""
+"""The server side of one HTTP connection."""
 
 import logging
 
@@ -19,31 +19,34 @@
 logger = logging.getLogger(__name__)
 
 PIPELINE_BYTES = 65536
-"""Bytes kept of what a client sends ahead; reading pauses above it."""
+"""Bytes buffered of pipelined requests; reading pauses above it."""
 
 STOP_GRACE_SECONDS = 0.25
-"""On a stop an idle connection stays open this long for a request on its way."""
+"""Time an idle connection stays open after a stop, for a request in transit."""
 
 LINGER_SECONDS = 1.0
-"""Longest wait for the client to close; closing first could destroy the answer."""
+"""Longest wait for the client to close; closing first could reset the connection and
+lose the response."""
 
 
 class ServerConnection:
     """Answers the requests of one connection, in their order.
 
-    One task is written straight down: receive, handle, send. A second one reads the
+    One task receives, handles and answers each request in turn. A second task reads the
     stream all the time, so that a disconnect cancels the handler. The end of the
-    client's stream counts as a disconnect: TCP doesn't tell a client that only ended
-    its sending from one that is gone.
+    client's stream counts as a disconnect, because TCP cannot distinguish a client that
+    only shut down its sending half from one that is gone.
 
     Attributes:
-        stream: Any stream of trio whose sending half can be closed.
-        peer: The client's address.
+        stream: Any trio stream whose sending half can be closed.
+        handler: Handles the requests.
+        limits: Limits on what a client may use.
+        peer: Address of the client.
         number: Number of the connection.
-        leaving: The next answer is the last.
-        stopping: The connection closes soon, also without an answer.
-        received: Bytes read and not yet parsed.
-        ended: The client sends no more.
+        close_after_response: Whether to close after the next response.
+        stopping: Whether to close soon, even if no further request arrives.
+        received: Bytes received and not yet parsed.
+        input_ended: Whether the client has shut down its sending or disconnected.
     """
 
     def __init__(
@@ -59,18 +62,18 @@
         self.limits = limits
         self.peer = peer
         self.number = number
-        self.leaving = False
+        self.close_after_response = False
         self.stopping = False
         self.received = b""
-        self.ended = False
+        self.input_ended = False
         self._http = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.header_bytes
         )
         self._reader = RequestReader(self._http, limits, peer, number)
-        self._idle: trio.CancelScope | None = None
-        self._handling: trio.CancelScope | None = None
-        self._arrived = trio.lowlevel.ParkingLot()
-        self._taken = trio.lowlevel.ParkingLot()
+        self._idle_scope: trio.CancelScope | None = None
+        self._handler_scope: trio.CancelScope | None = None
+        self._bytes_arrived = trio.lowlevel.ParkingLot()
+        self._bytes_consumed = trio.lowlevel.ParkingLot()
 
     async def run(self) -> None:
         """Serve the connection until either side closes it."""
@@ -82,12 +85,12 @@
             await trio.aclose_forcefully(self.stream)
 
     def begin_stop(self) -> None:
-        """Close the connection after its current request, or soon if it has none."""
-        self.leaving = True
+        """Close after the current request, or after a short grace if there is none."""
+        self.close_after_response = True
         self.stopping = True
-        if self._idle is not None:
+        if self._idle_scope is not None:
             deadline = trio.current_time() + STOP_GRACE_SECONDS
-            self._idle.deadline = min(self._idle.deadline, deadline)
+            self._idle_scope.deadline = min(self._idle_scope.deadline, deadline)
 
     async def _serve(self) -> None:
         async with trio.open_nursery() as nursery:
@@ -95,24 +98,28 @@
             answered = await self._answer_requests()
             nursery.cancel_scope.cancel()
         if answered:
-            await close_gently(self.stream)
+            await lingering_close(self.stream)
 
     async def _read_stream(self) -> None:
         try:
             while data := await self.stream.receive_some(RECEIVE_BYTES):
                 self.received += data
-                self._arrived.unpark_all()
+                self._bytes_arrived.unpark_all()
                 while len(self.received) >= PIPELINE_BYTES:
-                    await self._taken.park()
+                    await self._bytes_consumed.park()
         except trio.BrokenResourceError:
             pass
-        self.ended = True
-        self._arrived.unpark_all()
-        if self._handling is not None:
-            self._handling.cancel()
+        self.input_ended = True
+        self._bytes_arrived.unpark_all()
+        if self._handler_scope is not None:
+            self._handler_scope.cancel()
 
     async def _answer_requests(self) -> bool:
-        """Return whether the connection ended with an answer to be waited for."""
+        """Answer requests until the connection has to end.
+
+        Returns:
+            Whether it ended after a response, which the client may still be receiving.
+        """
         while True:
             match await self._receive_request():
                 case HttpRequest() as request:
@@ -128,13 +135,13 @@
             self._http.start_next_cycle()
 
     async def _receive_request(self) -> HttpRequest | HttpResponse | None:
-        """Return a request, a refusal of it, or nothing if none came."""
-        self._reader.begin()
+        """Return a request, an error response to it, or ``None`` if none arrived."""
+        self._reader.reset()
         if not await self._wait_for_first_byte():
             return None
         try:
-            # Most requests are whole by now, and cost no scope for their time.
-            if (request := self._read()) or self._reader.closed:
+            # Most requests are complete by now and need no scope for a timeout.
+            if (request := self._parse_received()) or self._reader.closed:
                 return request
             return await self._receive_rest()
         except h11.RemoteProtocolError as error:
@@ -149,16 +156,24 @@
         if self.received or self._http.trailing_data[0]:
             return True
         seconds = STOP_GRACE_SECONDS if self.stopping else self.limits.idle_seconds
-        with trio.CancelScope(deadline=trio.current_time() + seconds) as self._idle:
+        with trio.CancelScope(
+            deadline=trio.current_time() + seconds
+        ) as self._idle_scope:
             await self._wait_for_bytes()
-        if self._idle.cancelled_caught:
-            # After a pause of the process, bytes may have come with the deadline.
+        if self._idle_scope.cancelled_caught:
+            # After a pause of the process, bytes may be readable although the deadline
+            # has passed.
             await trio.lowlevel.checkpoint()
-        self._idle = None
+        self._idle_scope = None
         return bool(self.received)
 
     async def _receive_rest(self) -> HttpRequest | HttpResponse | None:
-        """Return a request of which a part came, or a refusal of it."""
+        """Receive the rest of a request.
+
+        Returns:
+            The request, an error response if it was not complete in time, or ``None``
+            if the client closed the connection.
+        """
         limits = self.limits
         deadline = trio.current_time() + limits.header_seconds
         in_body = False
@@ -170,44 +185,44 @@
                 if self._http.they_are_waiting_for_100_continue:
                     await self._send_continue()
                 await self._wait_for_bytes()
-                if request := self._read():
+                if request := self._parse_received():
                     return request
             return None
         return self._refusal(408, "the request did not arrive in time")
 
-    def _read(self) -> HttpRequest | None:
-        """Return the request if what was received makes it whole."""
-        if self.received or self.ended:
-            self._reader.give(self.received)
+    def _parse_received(self) -> HttpRequest | None:
+        """Parse the received bytes; return the request if it is complete."""
+        if self.received or self.input_ended:
+            self._reader.feed(self.received)
             self.received = b""
-            self._taken.unpark_all()
+            self._bytes_consumed.unpark_all()
         return self._reader.read()
 
     async def _wait_for_bytes(self) -> None:
-        while not self.received and not self.ended:
-            await self._arrived.park()
+        while not self.received and not self.input_ended:
+            await self._bytes_arrived.park()
 
     async def _send_continue(self) -> None:
-        go_on = h11.InformationalResponse(status_code=100, headers=[])
+        continue_response = h11.InformationalResponse(status_code=100, headers=[])
         try:
-            await self.stream.send_all(self._http.send(go_on))
+            await self.stream.send_all(self._http.send(continue_response))
         except trio.BrokenResourceError:
-            self.ended = True
+            self.input_ended = True
 
     async def _answer(self, request: HttpRequest) -> bool:
-        """Handle a request, send its answer, and return whether it left.
+        """Handle a request, send the response, and return whether it was sent.
 
-        One scope serves both: it is cancelled where the client goes away while the
-        request is handled, and has a deadline while the answer is sent.
+        One cancel scope covers both: it is cancelled if the client disconnects while
+        the request is handled, and has a deadline while the response is sent.
         """
-        if self.ended:
+        if self.input_ended:
             return False
         with trio.CancelScope() as scope:
-            self._handling = scope
+            self._handler_scope = scope
             try:
                 response = await self._handle(request)
             finally:
-                self._handling = None
+                self._handler_scope = None
             scope.deadline = trio.current_time() + self.limits.write_seconds
             return await self._send(response)
         return False
@@ -225,7 +240,7 @@
             return plain_problem(500, "the request could not be handled")
 
     async def _send(self, response: HttpResponse) -> bool:
-        """Send an answer and return whether it left."""
+        """Send a response and return whether it was sent."""
         try:
             await self.stream.send_all(self._encode(response))
         except trio.BrokenResourceError:
@@ -233,11 +248,11 @@
         return True
 
     def _encode(self, response: HttpResponse) -> bytes:
-        close = response.close or self.leaving
+        close = response.close or self.close_after_response
         try:
             head = response_head(response, close)
         except ValueError:
-            logger.exception("handler gave an answer that can't be sent")
+            logger.exception("handler returned a response that cannot be encoded")
             response = plain_problem(500, "the request could not be handled")
             head = response_head(response, close)
         if self._reader.method == b"HEAD" or response.status in BODILESS_STATUSES:
@@ -245,11 +260,11 @@
         return encode_message(self._http, head, response.body)
 
 
-async def close_gently(stream: trio.abc.HalfCloseableStream) -> None:
-    """End the sending and wait for the client to close, for a bounded time.
+async def lingering_close(stream: trio.abc.HalfCloseableStream) -> None:
+    """Shut down sending, then wait up to a timeout for the client to close.
 
-    To close a socket with unread bytes resets the connection, and a reset destroys
-    the answer on its way.
+    Closing a socket with unread bytes resets the connection, and a reset discards a
+    response in transit.
     """
     with trio.move_on_after(LINGER_SECONDS):
         try:
--- a/bergamotcourse/transport/http_problem.py
+++ b/bergamotcourse/transport/http_problem.py
@@ -1,4 +1,4 @@
-"""Problem details (RFC 9457): the body of every refusal that HTTP carries."""
+"""Problem details (RFC 9457): the body of HTTP error responses."""
 
 import math
 from http import HTTPStatus
@@ -11,13 +11,13 @@
 
 
 class ProblemDetails(msgspec.Struct):
-    """The members that RFC 9457 names.
+    """The members that RFC 9457 defines.
 
     Attributes:
         type: A URI for the kind of problem, or ``about:blank``.
-        title: The kind of problem, in a few words.
-        status: The HTTP status.
-        detail: One line for a person about this occurrence.
+        title: A short summary of the kind of problem.
+        status: The HTTP status code.
+        detail: One line that explains this occurrence to a person.
     """
 
     type: str
@@ -29,11 +29,12 @@
 def encode_problem(
     problem: ProblemDetails, retry_after: float | None = None
 ) -> HttpResponse:
-    """Return a problem as a response.
+    """Return a response with problem details as its JSON body.
 
     Args:
-        problem: The problem, or one with members of its own.
-        retry_after: Seconds after which the caller may try again, if known.
+        problem: The problem, or an instance of a subclass with further members.
+        retry_after: Seconds after which the caller may retry, if known; rounded up in
+            the header.
     """
     headers = [("content-type", PROBLEM_CONTENT_TYPE)]
     if retry_after is not None:
@@ -44,7 +45,7 @@
 def plain_problem(
     status: int, detail: str, retry_after: float | None = None
 ) -> HttpResponse:
-    """Return a response for a problem that its status alone describes."""
+    """Return a response for a problem whose kind is its HTTP status."""
     title = HTTPStatus(status).phrase
     problem = ProblemDetails("about:blank", title, status, detail)
     return encode_problem(problem, retry_after)
--- a/bergamotcourse/transport/http_reader.py
+++ b/bergamotcourse/transport/http_reader.py
@@ -1,4 +1,4 @@
-"""Requests out of the bytes of one server connection, without waiting for any."""
+"""Incremental parser for the requests of one server connection; it does no I/O."""
 
 from dataclasses import dataclass, field
 
@@ -10,17 +10,17 @@
 
 @dataclass
 class ServerLimits:
-    """Bounds on what a client may take.
+    """Limits on what a client may use.
 
     Attributes:
-        header_bytes: Largest request line with headers; above it the answer is 431.
-        body_bytes: Largest body; above it the answer is 413.
+        header_bytes: Largest request line with headers; above it the status is 431.
+        body_bytes: Largest body; above it the status is 413.
         header_seconds: Longest time from the first byte to the end of the headers;
-            above it the answer is 408.
-        body_seconds: Longest time to receive a body; above it the answer is 408.
+            above it the status is 408.
+        body_seconds: Longest time to receive a body; above it the status is 408.
         idle_seconds: Longest wait for the next request on a connection.
-        write_seconds: Longest time to send an answer.
-        connections: Connections served at once; above it the answer is 503.
+        write_seconds: Longest time to send a response.
+        connections: Connections served at once; above it the status is 503.
     """
 
     header_bytes: int = 16384
@@ -34,12 +34,17 @@
 
 @dataclass
 class RequestReader:
-    """Reads the requests of one connection, as far as bytes were given.
+    """Parses the requests of one connection from the bytes fed to it.
 
     Attributes:
-        http: The protocol's state.
-        head: The head of the request that is being read, once it is whole.
-        closed: The client ended the connection between two requests.
+        http: The state of the HTTP protocol.
+        limits: Limits on headers and bodies.
+        peer: Address of the client.
+        number: Number of the connection.
+        head: The head of the current request, once it is complete.
+        closed: Whether the client closed the connection between two requests.
+        parts: The parts of the current request's body.
+        size: Bytes of the current request's body.
     """
 
     http: h11.Connection
@@ -53,21 +58,23 @@
 
     @property
     def method(self) -> bytes:
-        """Return the method of the request that is being read or was read last."""
+        """Return the method of the current or last request."""
         return self.head.method if self.head else b""
 
-    def begin(self) -> None:
-        """Forget the former request."""
+    def reset(self) -> None:
+        """Discard the previous request before the next one is parsed."""
         self.head = None
         self.parts = []
         self.size = 0
 
-    def give(self, data: bytes) -> None:
-        """Add bytes; no bytes tell the end of the client's sending."""
+    def feed(self, data: bytes) -> None:
+        """Add received bytes; empty bytes mean that the client sends no more."""
         self.http.receive_data(data)
 
     def read(self) -> HttpRequest | None:
-        """Return the request if it is whole; else nothing, and more is needed.
+        """Return the request if it is complete, or ``None`` if more bytes are needed.
+
+        Also returns ``None`` and sets ``closed`` if the client closed the connection.
 
         Raises:
             h11.RemoteProtocolError: The request is malformed or too large.
@@ -81,9 +88,9 @@
                     self._check_head(event)
                     self.head = event
                 case h11.Data():
-                    self._add(event.data)
+                    self._add_body_data(event.data)
                 case h11.EndOfMessage():
-                    return self._request()
+                    return self._build_request()
                 case h11.ConnectionClosed():
                     self.closed = True
                     return None
@@ -97,13 +104,13 @@
             if name == b"content-length" and int(value) > self.limits.body_bytes:
                 raise h11.RemoteProtocolError("the body is too large", 413)
 
-    def _add(self, data: bytes) -> None:
+    def _add_body_data(self, data: bytes) -> None:
         self.parts.append(data)
         self.size += len(data)
         if self.size > self.limits.body_bytes:
             raise h11.RemoteProtocolError("the body is too large", 413)
 
-    def _request(self) -> HttpRequest:
+    def _build_request(self) -> HttpRequest:
         parts = self.parts
         body = bytes(parts[0]) if len(parts) == 1 else b"".join(parts)
         return HttpRequest(
--- a/bergamotcourse/transport/http_server.py
+++ b/bergamotcourse/transport/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server on one TCP port: accepting, counting and stopping."""
+"""An HTTP/1.1 server on one TCP port: accepts, limits and stops connections."""
 
 import errno
 import itertools
@@ -11,7 +11,7 @@
 from bergamotcourse.transport.http_connection import (
     ServerConnection,
     ServerLimits,
-    close_gently,
+    lingering_close,
 )
 from bergamotcourse.transport.http_problem import plain_problem
 from bergamotcourse.transport.http_wire import (
@@ -25,30 +25,34 @@
 __all__ = ["HttpServer", "ServerLimits"]
 
 RETRY_AFTER_SECONDS = 1
-"""When a client may come back that found all connections taken."""
+"""Sent as ``retry-after`` to clients above the limit on connections."""
 
-REFUSALS_AT_ONCE = 100
-"""Refused connections that get an answer at a time; more are closed without one."""
+MAX_CONCURRENT_REFUSALS = 100
+"""Refused connections that get a 503 at the same time; more are closed without."""
 
 ACCEPT_PAUSE_SECONDS = 0.1
-"""Pause after the kernel had no room for another connection."""
+"""Pause after the process or the kernel ran out of descriptors or memory."""
 
-NO_ROOM_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+RESOURCE_EXHAUSTED_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+)
 
 connection_numbers = itertools.count(1)
 
 
 class HttpServer:
-    """Serves a handler on a port; one task for each connection.
+    """Serves requests on a port, with one task for each connection.
 
     Attributes:
-        host: The IP number to listen on.
-        port: The port; 0 lets the kernel choose, until ``wait_open`` returns.
-        handler: Answers the requests.
-        limits: Bounds on what clients may take.
+        host: The IP address to listen on.
+        port: The port; 0 lets the kernel choose, and is replaced by the actual port
+            before ``wait_open`` returns.
+        handler: Handles the requests.
+        limits: Limits on what clients may use.
         connections: The connections being served.
-        leaving: ``begin_leave`` or ``begin_stop`` was called.
-        stopping: ``begin_stop`` was called.
+        close_after_response: Whether ``close_after_next_responses`` or ``begin_stop``
+            was called.
+        stopping: Whether ``begin_stop`` was called.
     """
 
     def __init__(
@@ -63,10 +67,10 @@
         self.handler = handler
         self.limits = limits or ServerLimits()
         self.connections: set[ServerConnection] = set()
-        self.leaving = False
+        self.close_after_response = False
         self.stopping = False
         self._refusals = 0
-        self._accepting = trio.CancelScope()
+        self._accept_scope = trio.CancelScope()
         self._opened = trio.Event()
         self._stopped = trio.Event()
 
@@ -76,10 +80,10 @@
         return len(self.connections)
 
     async def run(self) -> None:
-        """Serve until cancelled, or until a stop has ended the last connection.
+        """Serve until cancelled, or until the last connection ends after a stop.
 
         Raises:
-            OSError: The port can't be opened.
+            OSError: The server cannot listen on the port.
         """
         try:
             listeners = await self.open()
@@ -91,33 +95,34 @@
             self._stopped.set()
 
     async def wait_open(self) -> None:
-        """Return once the server listens; ``port`` is then the real one."""
+        """Return once the server listens; ``port`` is then the actual port."""
         await self._opened.wait()
 
-    def begin_leave(self) -> None:
-        """Serve on, but end each connection with its next answer.
+    def close_after_next_responses(self) -> None:
+        """Continue to serve, but close each connection after its next response.
 
-        A client that is told so with an answer opens its next connection elsewhere;
-        one whose connection is closed instead may have a request on its way.
+        The response carries ``connection: close``, so the client opens its next
+        connection elsewhere. Closing an idle connection instead could lose a request in
+        transit.
         """
-        self.leaving = True
+        self.close_after_response = True
         for connection in self.connections:
-            connection.leaving = True
+            connection.close_after_response = True
 
     def begin_stop(self) -> None:
-        """Accept no more; let requests in progress finish, then close."""
-        self.begin_leave()
+        """Stop accepting connections and close each after its current request."""
+        self.close_after_next_responses()
         self.stopping = True
-        self._accepting.cancel()
+        self._accept_scope.cancel()
         for connection in self.connections:
             connection.begin_stop()
 
     async def wait_stopped(self) -> None:
-        """Return once all connections are gone."""
+        """Return once all connections are closed."""
         await self._stopped.wait()
 
     async def open(self) -> list[trio.SocketListener]:
-        """Open the port and return its listeners, for ``accept_until_stop``."""
+        """Listen on the port and return the listeners, for ``accept_until_stop``."""
         listeners = await trio.open_tcp_listeners(self.port, host=self.host)
         self.port = listeners[0].socket.getsockname()[1]
         return listeners
@@ -125,12 +130,12 @@
     async def accept_until_stop(
         self, listener: trio.SocketListener, nursery: trio.Nursery
     ) -> None:
-        """Start a task in the nursery for each connection, until a stop."""
+        """Accept connections until a stop; start a task in the nursery for each."""
         async with listener:
-            with self._accepting:
+            with self._accept_scope:
                 while True:
                     await self._accept(listener, nursery)
-            # To close the listener would reset what the kernel accepted already.
+            # Closing the listener would reset connections that the kernel has accepted.
             while is_readable(listener.socket):
                 await self._accept(listener, nursery)
 
@@ -140,9 +145,9 @@
         try:
             stream = await listener.accept()
         except OSError as error:
-            if error.errno not in NO_ROOM_ERRNOS:
+            if error.errno not in RESOURCE_EXHAUSTED_ERRNOS:
                 raise
-            logger.exception("no room for another connection")
+            logger.exception("cannot accept a connection: out of descriptors or memory")
             await trio.sleep(ACCEPT_PAUSE_SECONDS)
             return
         if len(self.connections) < self.limits.connections:
@@ -152,10 +157,14 @@
 
     def _start(self, stream: trio.SocketStream, nursery: trio.Nursery) -> None:
         connection = ServerConnection(
-            stream, self.handler, self.limits, peer_of(stream), next(connection_numbers)
+            stream,
+            self.handler,
+            self.limits,
+            peer_address(stream),
+            next(connection_numbers),
         )
         self.connections.add(connection)
-        connection.leaving = self.leaving
+        connection.close_after_response = self.close_after_response
         if self.stopping:
             connection.begin_stop()
         nursery.start_soon(self._serve, connection)
@@ -169,7 +178,7 @@
     async def _refuse(self, stream: trio.SocketStream) -> None:
         self._refusals += 1
         try:
-            if self._refusals <= REFUSALS_AT_ONCE:
+            if self._refusals <= MAX_CONCURRENT_REFUSALS:
                 await send_refusal(stream)
         finally:
             self._refusals -= 1
@@ -177,7 +186,7 @@
 
 
 async def send_refusal(stream: trio.abc.HalfCloseableStream) -> None:
-    """Answer 503 on a connection of which nothing was read."""
+    """Send a 503 response on a connection without reading a request."""
     response = plain_problem(
         503, "all connections of this server are taken", RETRY_AFTER_SECONDS
     )
@@ -187,11 +196,11 @@
         await stream.send_all(data)
     except trio.BrokenResourceError:
         return
-    await close_gently(stream)
+    await lingering_close(stream)
 
 
-def peer_of(stream: trio.SocketStream) -> str:
-    """Return the client's address as ``IP:PORT``, or nothing if it is gone."""
+def peer_address(stream: trio.SocketStream) -> str:
+    """Return the client's ``IP:PORT``, or an empty string if it has disconnected."""
     try:
         host, port, *_ = stream.socket.getpeername()
     except OSError:
--- a/bergamotcourse/transport/http_wire.py
+++ b/bergamotcourse/transport/http_wire.py
@@ -1,4 +1,4 @@
-"""What the HTTP server and client share: headers and messages as h11 has them."""
+"""Encoding shared by the HTTP server and client: headers and messages for h11."""
 
 import select
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 from bergamotcourse.transport.http import HeaderList, HttpRequest, HttpResponse
 
 RECEIVE_BYTES = 16384
-"""Most bytes taken from a connection at once."""
+"""Most bytes received from a connection in one call."""
 
 WireHeaders = list[tuple[bytes, bytes]]
 
@@ -25,17 +25,18 @@
         "upgrade",
     )
 )
-"""Headers about one connection only; a message gets its own when it is sent."""
+"""Headers that describe one connection or the framing of one message. They are not
+passed on; each message gets its own when it is sent."""
 
 BODILESS_STATUSES = frozenset((204, 304))
 METHODS_WITH_BODY = frozenset(("PATCH", "POST", "PUT"))
 
 
 def wire_headers(headers: HeaderList) -> WireHeaders:
-    """Return the headers to send, without those about the connection.
+    """Return the headers encoded for h11, without ``FRAMING_HEADERS``.
 
     Raises:
-        UnicodeEncodeError: A name or value can't stand in a header.
+        UnicodeEncodeError: A name is not ASCII or a value is not Latin-1.
     """
     return [
         (name.encode("ascii"), value.encode("latin-1"))
@@ -45,7 +46,7 @@
 
 
 def text_headers(headers: Iterable[tuple[bytes, bytes]]) -> HeaderList:
-    """Return received headers as text, names in lower case."""
+    """Return headers received by h11 as text; h11 has put names in lower case."""
     return [(name.decode("ascii"), value.decode("latin-1")) for name, value in headers]
 
 
@@ -53,8 +54,7 @@
     """Return the head of a response.
 
     Raises:
-        ValueError: The status or a header is invalid; the error of h11 or one of
-            encoding.
+        ValueError: The status or a header is invalid, or cannot be encoded.
     """
     headers = wire_headers(response.headers)
     if response.status not in BODILESS_STATUSES:
@@ -68,7 +68,7 @@
 
 
 def request_head(request: HttpRequest, host: str) -> h11.Request:
-    """Return the head of a request, with ``host`` unless it names one.
+    """Return the head of a request; ``host`` is used unless it has a host header.
 
     Raises:
         ValueError: The method, target or a header is invalid.
@@ -89,7 +89,7 @@
 def encode_message(
     http: h11.Connection, head: h11.Request | h11.Response, body: bytes
 ) -> bytes:
-    """Return a whole message as bytes, so that one call sends it."""
+    """Return a complete message as bytes, to be sent in one call."""
     parts = [http.send(head)]
     if body:
         parts.append(http.send(h11.Data(data=body)))
@@ -98,14 +98,14 @@
 
 
 def is_reusable(http: h11.Connection) -> bool:
-    """Return whether both sides are done and the connection may be used again."""
+    """Return whether request and response are complete and allow another request."""
     return http.our_state is h11.DONE and http.their_state is h11.DONE
 
 
 def is_readable(socket: trio.socket.SocketType) -> bool:
-    """Return whether a call to read or accept would return at once."""
+    """Return whether receiving from or accepting on the socket would not block."""
     if socket.fileno() < 0:
-        # Closed: a call would return at once, with an error.
+        # The socket is closed: a call would fail at once.
         return True
     poll = select.poll()
     poll.register(socket.fileno(), select.POLLIN)
--- a/bergamotcourse/transport/link.py
+++ b/bergamotcourse/transport/link.py
@@ -1,4 +1,4 @@
-"""The interface of a link: how one process hands bytes to another."""
+"""The interface of a link, which carries messages between processes."""
 
 from typing import Protocol
 
@@ -9,13 +9,14 @@
 
 
 class Link(Protocol):
-    """Carries whole payloads between processes; may lose them, never cuts them.
+    """Carries payloads between processes; may lose them, but never truncates them.
 
-    A payload that ``send`` accepted may still be lost: what matters carries an id
-    and is answered. A payload that ``send`` refused was certainly not sent.
+    A payload that ``send`` accepted may still be lost, so messages that must arrive
+    carry an id and are acknowledged. If ``send`` returns an error, the payload was not
+    delivered and will not be.
 
     Attributes:
-        address: Where this process receives.
+        address: Address on which this process receives.
     """
 
     address: LinkAddress
@@ -27,10 +28,10 @@
         """Return once the link receives; ``address`` is then final."""
 
     async def send(self, peer: LinkAddress, payload: bytes) -> Result[None, StepError]:
-        """Hand a payload to the link, waiting while the peer's buffer is full."""
+        """Submit a payload for sending; wait while the buffer of the peer is full."""
 
     async def receive(self) -> bytes:
         """Return the next payload received from any peer."""
 
     def forget(self, peer: LinkAddress) -> None:
-        """Close what is held for a peer that is gone."""
+        """Release the resources held for a peer that is gone."""
--- a/bergamotcourse/transport/memory_link.py
+++ b/bergamotcourse/transport/memory_link.py
@@ -1,7 +1,7 @@
-"""A network in memory: links for tests that run on a virtual clock.
+"""A simulated network in memory: links for tests that run on a virtual clock.
 
-No task and no thread serves it. A payload waits in the inbox of its receiver until it
-is due, so the same seed and the same schedule give the same deliveries.
+It runs no task or thread of its own. A payload waits in the inbox of its receiver until
+its arrival time, so the same seed and the same schedule give the same deliveries.
 """
 
 import heapq
@@ -18,15 +18,15 @@
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.transport.bottleneck import Bottleneck
 
-DEFAULT_DELAY = 0.0005
+DEFAULT_DELAY_SECONDS = 0.0005
 
 Pair = tuple[LinkAddress, LinkAddress]
-"""A sender and a receiver."""
+"""The addresses of a sender and a receiver."""
 
 
 @dataclass
 class Traffic:
-    """What one sender handed to the network for one receiver, lost or not."""
+    """What one sender sent to one receiver, including payloads that were lost."""
 
     payloads: int = 0
     bytes: int = 0
@@ -34,11 +34,11 @@
 
 @dataclass(order=True)
 class Delivery:
-    """A payload on its way.
+    """A payload in transit.
 
     Attributes:
-        due: When it arrives, on trio's clock.
-        number: Keeps payloads that are due together in the order of sending.
+        due: Arrival time on trio's clock.
+        number: Keeps payloads that arrive at the same time in the order of sending.
     """
 
     due: float
@@ -49,26 +49,31 @@
 class MemoryNetwork:
     """Connects memory links and injects faults between them.
 
-    Faults apply to payloads sent after they begin; what is on its way arrives.
+    Faults apply to payloads sent after they begin; payloads in transit still arrive.
 
     Attributes:
         rng: Seeded source of loss, duplication and jitter.
-        delay: Seconds from a sender to a receiver.
-        pair_delay: Seconds for a sender and a receiver, in place of ``delay``.
-        loss: Share of payloads that are lost.
-        duplicate: Share of payloads that arrive twice.
-        reorder: Each payload is late by up to so many seconds more, at random. At
-            0 the payloads of a pair arrive in the order of sending.
+        delay: One-way delay in seconds.
+        pair_delay: Returns the one-way delay in seconds from a sender to a receiver;
+            replaces ``delay``.
+        loss: Share of payloads that are lost, from 0 to 1.
+        duplicate: Share of payloads that arrive twice, from 0 to 1.
+        reorder: Upper bound in seconds of a random additional delay for each payload.
+            At 0 the payloads of a pair arrive in the order of sending.
         sent: Traffic by pair.
-        bottlenecks: The links, out and in, of addresses whose rate is limited.
-        held: What frozen addresses have sent, by sender.
-        tap: Sees each payload before it leaves; it is lost if this returns false.
+        links: The open links by address.
+        bottlenecks: The outbound and the inbound interface of addresses whose rate is
+            limited.
+        frozen: Addresses of paused processes.
+        held: Payloads that frozen addresses have sent, by sender.
+        tap: Called with the sender, the receiver and the payload before each send; the
+            payload is dropped if this returns false.
     """
 
     def __init__(
         self,
         rng: random.Random,
-        delay: float = DEFAULT_DELAY,
+        delay: float = DEFAULT_DELAY_SECONDS,
         pair_delay: Callable[[LinkAddress, LinkAddress], float] | None = None,
         loss: float = 0.0,
         duplicate: float = 0.0,
@@ -94,11 +99,11 @@
         self.numbers = itertools.count()
 
     def link(self, address: LinkAddress) -> "MemoryLink":
-        """Return a new link; it receives while it runs."""
+        """Return a new link, which receives while its ``run`` is running."""
         return MemoryLink(self, address)
 
     def cut(self, sender: LinkAddress, receiver: LinkAddress) -> None:
-        """Lose what one address sends to another; the other direction stays."""
+        """Drop what one address sends to another; the other direction still works."""
         self.cut_pairs.add((sender, receiver))
 
     def heal(self, sender: LinkAddress, receiver: LinkAddress) -> None:
@@ -106,7 +111,7 @@
         self.cut_pairs.discard((sender, receiver))
 
     def cut_all(self, address: LinkAddress) -> None:
-        """Lose all that an address sends and all that is sent to it."""
+        """Drop everything sent by or to an address."""
         self.cut_addresses.add(address)
 
     def heal_all(self, address: LinkAddress) -> None:
@@ -115,23 +120,23 @@
         self.cut_pairs = {pair for pair in self.cut_pairs if address not in pair}
 
     def freeze(self, address: LinkAddress) -> None:
-        """Hold what arrives at an address, and what it sends from now on."""
+        """Hold back what arrives at an address and what it sends from now on."""
         self.frozen.add(address)
 
     def thaw(self, address: LinkAddress) -> None:
-        """Deliver what was held, in order, and send what it sent meanwhile."""
+        """Undo ``freeze``: deliver and send the held payloads, in order."""
         self.frozen.discard(address)
         for receiver, payload in self.held.pop(address, []):
             self._send(address, receiver, payload)
         if address in self.links:
-            self.links[address].changed.unpark_all()
+            self.links[address].inbox_changed.unpark_all()
 
     def drop_held(self, address: LinkAddress) -> None:
-        """Lose what a frozen address has sent: its process ends."""
+        """Drop what a frozen address has sent, as if its process had died."""
         self.held.pop(address, None)
 
     def carry(self, sender: LinkAddress, receiver: LinkAddress, payload: bytes) -> None:
-        """Send a payload on its way, hold it, or lose it."""
+        """Send a payload, hold it if the sender is frozen, or drop it."""
         if self.tap is not None and not self.tap(sender, receiver, payload):
             return
         if sender in self.frozen:
@@ -148,24 +153,24 @@
             return
         copies = 2 if self.rng.random() < self.duplicate else 1
         for _ in range(copies):
-            due = self._pass(sender, receiver, len(payload))
+            due = self._arrival_time(sender, receiver, len(payload))
             if due is not None:
-                link.put(Delivery(due, next(self.numbers), payload))
+                link.deliver(Delivery(due, next(self.numbers), payload))
 
-    def _pass(
+    def _arrival_time(
         self, sender: LinkAddress, receiver: LinkAddress, size: int
     ) -> float | None:
-        """Return when a payload arrives, or ``None`` if a full link loses it."""
-        due = self._due(sender, receiver)
+        """Return when a payload arrives, or ``None`` if a bottleneck drops it."""
+        due = self._arrival_after_delay(sender, receiver)
         if sender in self.bottlenecks:
             out, _ = self.bottlenecks[sender]
-            passed = out.pass_at(size, trio.current_time())
+            passed = out.enqueue(size, trio.current_time())
             if passed is None:
                 return None
             due += passed - trio.current_time()
         if receiver in self.bottlenecks:
             _, into = self.bottlenecks[receiver]
-            return into.pass_at(size, due)
+            return into.enqueue(size, due)
         return due
 
     def _is_lost(self, sender: LinkAddress, receiver: LinkAddress) -> bool:
@@ -175,7 +180,7 @@
             return True
         return self.rng.random() < self.loss
 
-    def _due(self, sender: LinkAddress, receiver: LinkAddress) -> float:
+    def _arrival_after_delay(self, sender: LinkAddress, receiver: LinkAddress) -> float:
         delay = self.delay
         if self.pair_delay is not None:
             delay = self.pair_delay(sender, receiver)
@@ -191,7 +196,7 @@
     """A ``Link`` over a ``MemoryNetwork``.
 
     Attributes:
-        address: Where this process receives.
+        address: Address on which this process receives.
     """
 
     def __init__(self, network: MemoryNetwork, address: LinkAddress):
@@ -199,11 +204,11 @@
         self.address = address
         self.opened = trio.Event()
         self.inbox: list[Delivery] = []
-        self.changed = trio.lowlevel.ParkingLot()
+        self.inbox_changed = trio.lowlevel.ParkingLot()
 
     async def run(self) -> None:
         """Open the link and serve it until cancelled."""
-        # One that is cancelled already must not take the place of its successor.
+        # A link that is already cancelled must not replace its successor.
         await trio.lowlevel.checkpoint_if_cancelled()
         self.network.links[self.address] = self
         self.opened.set()
@@ -217,7 +222,7 @@
         await self.opened.wait()
 
     async def send(self, peer: LinkAddress, payload: bytes) -> Result[None, StepError]:
-        """Hand a payload to the network, which accepts all and may lose it."""
+        """Pass a payload to the network, which accepts any but may drop it."""
         await trio.lowlevel.checkpoint()
         self.network.carry(self.address, peer, payload)
         return Ok(None)
@@ -227,16 +232,16 @@
         await trio.lowlevel.checkpoint()
         while not self._is_ready():
             with trio.move_on_at(self._next_due()):
-                await self.changed.park()
+                await self.inbox_changed.park()
         return heapq.heappop(self.inbox).payload
 
     def forget(self, peer: LinkAddress) -> None:
-        """Do nothing: nothing is held for a peer."""
+        """Do nothing: no resources are held for a peer."""
 
-    def put(self, delivery: Delivery) -> None:
-        """Let a payload arrive when it is due."""
+    def deliver(self, delivery: Delivery) -> None:
+        """Add a payload to the inbox, to be received at its arrival time."""
         heapq.heappush(self.inbox, delivery)
-        self.changed.unpark_all()
+        self.inbox_changed.unpark_all()
 
     def _is_ready(self) -> bool:
         return self._next_due() <= trio.current_time()
--- a/bergamotcourse/transport/nng_link.py
+++ b/bergamotcourse/transport/nng_link.py
@@ -1,8 +1,8 @@
 """A link over nng: one listening Pull socket, and one Push socket for each peer.
 
-The sockets are driven from trio by their readiness descriptors. The asynchronous
-calls of pynng pass each message through a thread of nng, which costs several times
-the processor time (docs/design/links.md has the figures).
+The sockets are driven from trio through their readiness file descriptors. The
+asynchronous calls of pynng pass each message through a thread of nng, which costs
+several times the CPU time (docs/design/links.md has the figures).
 """
 
 import select
@@ -14,35 +14,35 @@
 
 from bergamotcourse.errors import BergamotcourseError, Step, StepError
 from bergamotcourse.ids import LinkAddress
-from bergamotcourse.transport.receive_turns import ReceiveTurns
+from bergamotcourse.transport.receive_turns import ReceiveBudget
 
 SCHEME = "tcp://"
 
-SEND_TIMEOUT = 1.0
-"""Seconds that a send waits for room in the buffer of its peer."""
+SEND_TIMEOUT_SECONDS = 1.0
+"""Longest wait for space in the send buffer of a peer."""
 
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 1000
 
 SENT = Ok(None)
-"""Made once, as it would be made for each payload."""
+"""Shared result of each successful send, to save an allocation for each payload."""
 
 
-THREADS = {
+NNG_THREADS = {
     "TASK": 2,
     "EXPIRE": 1,
     "POLLER": 1,
     "RESOLVER": 1,
 }
-"""Threads of nng, by what they do; by itself it starts more the more cores there are,
-and messages then wander between them."""
+"""Threads of nng by their role. By default nng starts more threads on more cores, and
+messages then move between cores."""
 
 
 def limit_threads() -> None:
-    """Bound the threads of nng; of use only before its first socket is made."""
-    for name, count in THREADS.items():
+    """Limit the threads of nng; has no effect after its first socket was created."""
+    for name, count in NNG_THREADS.items():
         for bound in ("NUM", "MAX"):
-            # There is no bound for the resolvers, only their number.
+            # nng has no maximum for resolver threads, only their number.
             parameter = getattr(pynng.lib, f"NNG_INIT_{bound}_{name}_THREADS", None)
             if parameter is not None:
                 pynng.lib.nng_init_set_parameter(parameter, count)
@@ -52,11 +52,14 @@
 
 
 @dataclass
-class Peer:
-    """The sending side towards one peer.
+class PeerSocket:
+    """The Push socket that sends to one peer.
 
     Attributes:
-        lock: Keeps senders in order, and one at a time on the descriptor.
+        lock: Serves waiting senders in order, and lets only one at a time wait on the
+            descriptor.
+        send_fd: Descriptor that is readable while the socket can send; looked up by the
+            first sender that has to wait.
     """
 
     socket: pynng.Push0
@@ -64,21 +67,21 @@
     send_fd: int | None = None
 
     def try_send(self, payload: bytes) -> bool:
-        """Send a payload if there is room for it."""
+        """Send a payload if the buffer has space; return whether it was sent."""
         try:
             self.socket.send(payload, block=False)
         except pynng.TryAgain:
             return False
         return True
 
-    async def wait_room(self) -> None:
-        """Return when the socket may have room for a payload."""
+    async def wait_writable(self) -> None:
+        """Return when the buffer may have space for a payload."""
         if self.send_fd is None:
             self.send_fd = self.socket.send_fd
         await trio.lowlevel.wait_readable(self.send_fd)
 
     def close(self) -> None:
-        """Close the socket; a sender that waits gets an error."""
+        """Close the socket; a waiting sender gets ``trio.ClosedResourceError``."""
         if self.send_fd is not None:
             trio.lowlevel.notify_closing(self.send_fd)
         self.socket.close()
@@ -87,16 +90,16 @@
 class NngLink:
     """A ``Link`` over nng.
 
-    A payload that waits in the buffer of an absent peer is delivered when the peer
-    comes back, however late, unless the peer is forgotten before. What nng and the
-    kernel still hold when the link closes may be lost.
+    A payload buffered for an unreachable peer is delivered when the peer returns,
+    however late, unless ``forget`` is called for the peer before. Payloads that nng and
+    the kernel still buffer when the link closes may be lost.
 
     Attributes:
-        address: Where this process receives; final once the link is open.
-        buffer: Payloads held for each peer beside those in the kernel's buffers.
-        message_bytes: Larger payloads are refused by the sender, and by the
-            receiver, which closes the connection they come on.
-        reconnect_ms: Longest pause before a peer that is away is tried again.
+        address: Address on which this process receives; final once the link is open.
+        buffer: Payloads buffered for each peer, besides those in the kernel's buffers.
+        message_bytes: Largest payload. A larger one is refused by the sender, and by
+            the receiver, which closes the connection it came on.
+        reconnect_ms: Upper limit of the backoff between attempts to reconnect.
     """
 
     def __init__(
@@ -112,18 +115,18 @@
         self.buffer = buffer
         self.message_bytes = message_bytes
         self.reconnect_ms = reconnect_ms
-        self.peers: dict[LinkAddress, Peer] = {}
+        self.peers: dict[LinkAddress, PeerSocket] = {}
         self.socket: pynng.Pull0 | None = None
         self.receive_fd = -1
         self.poll = select.poll()
         self.opened = trio.Event()
-        self.turns = ReceiveTurns()
+        self.receive_budget = ReceiveBudget()
 
     async def run(self) -> None:
         """Open the link and serve it until cancelled.
 
         Raises:
-            BergamotcourseError: The address cannot be listened on.
+            BergamotcourseError: The link cannot listen on the address.
         """
         self._open()
         try:
@@ -136,19 +139,19 @@
         await self.opened.wait()
 
     async def send(self, peer: LinkAddress, payload: bytes) -> Result[None, StepError]:
-        """Hand a payload to nng, waiting a bounded time while its buffer is full.
+        """Pass a payload to nng; wait up to a timeout while its buffer is full.
 
-        An error, or a cancellation, means that the payload was not sent.
+        After an error or a cancellation the payload was not sent.
         """
         if len(payload) > self.message_bytes:
             detail = f"{len(payload)} bytes, at most {self.message_bytes}"
             return Error(StepError(Step.SEND, peer, detail))
         try:
-            sent = await self._send(self._peer(peer), payload)
+            sent = await self._send(self._get_or_dial(peer), payload)
         except (pynng.NNGException, trio.ClosedResourceError, ValueError) as error:
             return Error(StepError(Step.SEND, peer, str(error) or "closed"))
         if not sent:
-            detail = f"buffer full for {SEND_TIMEOUT} s"
+            detail = f"buffer full for {SEND_TIMEOUT_SECONDS} s"
             return Error(StepError(Step.SEND, peer, detail))
         return SENT
 
@@ -159,19 +162,19 @@
         """
         if not self.opened.is_set():
             await self.opened.wait()
-        await self.turns.take()
+        await self.receive_budget.spend()
         while True:
-            # To ask the descriptor costs a tenth of a call that finds nothing.
+            # Polling the descriptor costs a tenth of a receive call without a message.
             if self.poll.poll(0):
                 try:
-                    return self._receive_now()
+                    return self._try_receive()
                 except pynng.TryAgain:
                     pass
-            self.turns.end()
+            self.receive_budget.reset()
             await trio.lowlevel.wait_readable(self.receive_fd)
 
     def forget(self, peer: LinkAddress) -> None:
-        """Close the socket to a peer; what its buffer holds is lost."""
+        """Close the socket to a peer; the payloads in its buffer are lost."""
         side = self.peers.pop(peer, None)
         if side is not None:
             side.close()
@@ -196,9 +199,9 @@
         trio.lowlevel.notify_closing(self.receive_fd)
         self.socket.close()
 
-    def _peer(self, peer: LinkAddress) -> Peer:
+    def _get_or_dial(self, peer: LinkAddress) -> PeerSocket:
         if peer not in self.peers:
-            self.peers[peer] = Peer(self._dial(peer))
+            self.peers[peer] = PeerSocket(self._dial(peer))
         return self.peers[peer]
 
     def _dial(self, peer: LinkAddress) -> pynng.Push0:
@@ -216,28 +219,28 @@
             raise
         return socket
 
-    async def _send(self, side: Peer, payload: bytes) -> bool:
+    async def _send(self, side: PeerSocket, payload: bytes) -> bool:
         await trio.lowlevel.checkpoint_if_cancelled()
-        # Taking the lock costs a turn of the scheduler, so only those wait for it
-        # that come after a sender that waits for room.
+        # Acquiring the lock yields to the scheduler, so it is done only when another
+        # sender waits or the buffer is full.
         if not side.lock.locked() and side.try_send(payload):
             return True
         async with side.lock:
-            return await self._send_once_there_is_room(side, payload)
+            return await self._send_when_writable(side, payload)
 
-    async def _send_once_there_is_room(self, side: Peer, payload: bytes) -> bool:
+    async def _send_when_writable(self, side: PeerSocket, payload: bytes) -> bool:
         if side.try_send(payload):
             return True
-        with trio.move_on_after(SEND_TIMEOUT):
+        with trio.move_on_after(SEND_TIMEOUT_SECONDS):
             while True:
-                await side.wait_room()
+                await side.wait_writable()
                 if side.try_send(payload):
                     return True
         return False
 
-    def _receive_now(self) -> bytes:
+    def _try_receive(self) -> bytes:
         try:
             return self.socket.recv(block=False)
         except RuntimeError:
-            # pynng cannot unpack a message of no bytes, which anyone may send.
+            # pynng cannot decode an empty message, which any client may send.
             return b""
--- a/bergamotcourse/transport/receive_turns.py
+++ b/bergamotcourse/transport/receive_turns.py
@@ -1,30 +1,30 @@
-"""Lets other tasks run while payloads keep coming."""
+"""Cooperative scheduling of a link that receives payloads without a pause."""
 
 import trio
 
-RECEIVES_PER_TURN = 16
-"""Payloads taken in a row before other tasks get their turn."""
+RECEIVES_PER_YIELD = 16
+"""Payloads received in a row before the task yields to others."""
 
 
-class ReceiveTurns:
-    """Counts what a link receives in a row.
+class ReceiveBudget:
+    """Counts the payloads that a link receives without yielding to other tasks.
 
     Attributes:
-        taken: Payloads since other tasks last had their turn.
+        spent: Payloads received since the task last yielded.
     """
 
     def __init__(self):
-        self.taken = 0
+        self.spent = 0
 
-    async def take(self) -> None:
-        """Begin to receive a payload; yields to other tasks now and then."""
-        self.taken += 1
-        if self.taken < RECEIVES_PER_TURN:
+    async def spend(self) -> None:
+        """Count one payload; yield to other tasks if the budget is used up."""
+        self.spent += 1
+        if self.spent < RECEIVES_PER_YIELD:
             await trio.lowlevel.checkpoint_if_cancelled()
             return
-        self.taken = 0
+        self.spent = 0
         await trio.lowlevel.checkpoint()
 
-    def end(self) -> None:
-        """Note that the link waits, so that others have their turn anyway."""
-        self.taken = 0
+    def reset(self) -> None:
+        """Restore the whole budget: the task is about to wait, which yields anyway."""
+        self.spent = 0
