--- a/bergamotcourse/commands/processes.py
+++ b/bergamotcourse/commands/processes.py
@@ -9,8 +9,8 @@
 from bergamotcourse.commands.exit_codes import ExitCode
 from bergamotcourse.commands.output import echo_issues
 from bergamotcourse.daemons.agent import run_agent
-from bergamotcourse.daemons.collector import tune_collector
 from bergamotcourse.daemons.entry import run_entry
+from bergamotcourse.daemons.gc_tuning import tune_garbage_collector
 from bergamotcourse.errors import BergamotcourseError
 from bergamotcourse.standins.platform import serve_platform
 from bergamotcourse.standins.upstream import StandInUpstream, serve_upstream
@@ -28,7 +28,7 @@
         case Result(error=issues):
             echo_issues(issues, False)
             return ExitCode.INVALID
-    tune_collector()
+    tune_garbage_collector()
     return _run(RUNNERS[kind], loaded.settings)
 
 
--- a/bergamotcourse/daemons/__init__.py
+++ b/bergamotcourse/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""The thin daemons that wire the library together."""
+"""Entry points, HTTP APIs, logs and metrics of the entry and agent processes."""
--- a/bergamotcourse/daemons/admin_api.py
+++ b/bergamotcourse/daemons/admin_api.py
@@ -1,4 +1,4 @@
-"""What operators meet: the administration API of an entry, over HTTP."""
+"""The HTTP administration API of an entry: authentication, roles and routing."""
 
 from http import HTTPStatus
 from urllib.parse import parse_qsl, unquote, urlsplit
@@ -11,27 +11,27 @@
 from bergamotcourse.state.manifest import Manifest, Role
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 
-RANKS = {role: rank for rank, role in enumerate(Role)}
-"""Each role may do what those before it may."""
+ROLE_RANKS = {role: rank for rank, role in enumerate(Role)}
+"""Rank of each role; a role includes the permissions of all lower ranks."""
 
 
 class AdminApi:
-    """Answers operators' requests, and teams' about themselves.
+    """Handles requests of operators, and of teams about their own work.
 
     Attributes:
-        access: Index of the manifest in force.
+        access: Index of the teams, operators and services in the current manifest.
     """
 
     def __init__(self, entry: Entry):
         self.entry = entry
         self.access = index_access(entry.config.version, entry.config.manifest)
-        entry.config.subscribe(self._take_manifest)
+        entry.config.subscribe(self._update_access)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Authenticate one request and dispatch it to the handler of its route."""
         parts = urlsplit(request.target)
-        found = self._identify(request)
-        if found is None:
+        admin_request = self._identify(request)
+        if admin_request is None:
             return self._unauthorized()
         matches = [
             (route, values)
@@ -43,14 +43,14 @@
             return admin_problem(status, f"nothing is at {parts.path}")
         for route, values in matches:
             if route.method == request.method:
-                found.path = values
-                found.query = dict(parse_qsl(parts.query))
-                found.body = request.body
-                return await self._run(route, found)
-        return _wrong_method([route.method for route, _ in matches])
+                admin_request.path = values
+                admin_request.query = dict(parse_qsl(parts.query))
+                admin_request.body = request.body
+                return await self._run(route, admin_request)
+        return _method_not_allowed([route.method for route, _ in matches])
 
     async def _run(self, route: Route, request: AdminRequest) -> HttpResponse:
-        if not may_run(route, request):
+        if not is_allowed(route, request):
             detail = f"this needs an operator with role {route.role.value}"
             return admin_problem(HTTPStatus.FORBIDDEN, detail)
         return await route.handler(request)
@@ -71,19 +71,19 @@
         response.headers.append(("www-authenticate", "Bearer"))
         return response
 
-    def _take_manifest(self, version: ConfigVersion, manifest: Manifest) -> None:
+    def _update_access(self, version: ConfigVersion, manifest: Manifest) -> None:
         self.access = index_access(version, manifest)
 
 
-def may_run(route: Route, request: AdminRequest) -> bool:
-    """Return whether who asks may make a request of a route."""
+def is_allowed(route: Route, request: AdminRequest) -> bool:
+    """Return whether the operator or team of a request may use a route."""
     if request.operator is None:
         return route.teams
-    return RANKS[request.operator.role] >= RANKS[route.role]
+    return ROLE_RANKS[request.operator.role] >= ROLE_RANKS[route.role]
 
 
 def match_path(pattern: str, path: str) -> dict[str, str] | None:
-    """Return the values of a path's parameters, or ``None`` for another path."""
+    """Return the path parameters, or ``None`` if the path does not match."""
     wanted, given = pattern.split("/"), path.split("/")
     if len(wanted) != len(given):
         return None
@@ -96,9 +96,9 @@
     return values
 
 
-def _wrong_method(allowed: list[str]) -> HttpResponse:
+def _method_not_allowed(allowed: list[str]) -> HttpResponse:
     words = ", ".join(sorted(allowed))
-    detail = f"give one of: {words}"
+    detail = f"allowed methods: {words}"
     response = admin_problem(HTTPStatus.METHOD_NOT_ALLOWED, detail)
     response.headers.append(("allow", words))
     return response
--- a/bergamotcourse/daemons/admin_drains.py
+++ b/bergamotcourse/daemons/admin_drains.py
@@ -1,4 +1,4 @@
-"""The administration API's verbs on drains."""
+"""Handlers of the administration API for drains."""
 
 from http import HTTPStatus
 
@@ -6,7 +6,7 @@
 
 from bergamotcourse.coordination.drain_changes import add_drain, cancel_drain
 from bergamotcourse.coordination.status import entry_status
-from bergamotcourse.daemons.admin_manifest import accepted_answer
+from bergamotcourse.daemons.admin_manifest import change_response
 from bergamotcourse.daemons.admin_request import (
     AdminRequest,
     admin_problem,
@@ -20,14 +20,14 @@
 
 
 async def list_drains(request: AdminRequest) -> HttpResponse:
-    """Answer with the progress of each drain in force."""
+    """Return the progress of each drain in force."""
     drains = request.entry.config.manifest.policy.drains
     return json_answer([_progress(request, drain) for drain in drains])
 
 
 async def get_drain(request: AdminRequest) -> HttpResponse:
-    """Answer with the progress of one drain in force."""
-    match _drain(request):
+    """Return the progress of one drain in force."""
+    match _parse_drain(request):
         case Result(tag="ok", ok=drain):
             pass
         case Result(error=response):
@@ -39,8 +39,11 @@
 
 
 async def put_drain(request: AdminRequest) -> HttpResponse:
-    """Add a drain, unless what remains cannot carry the load."""
-    match _drain(request):
+    """Add a drain; rejected if the remaining capacity cannot carry the load.
+
+    The query parameter ``force`` skips the capacity check.
+    """
+    match _parse_drain(request):
         case Result(tag="ok", ok=drain):
             pass
         case Result(error=response):
@@ -50,17 +53,21 @@
         return bad_request("give a reason, for the audit trail")
     progress = _progress(request, drain)
     if progress.overloaded and not request.flag("force"):
-        detail = "what remains cannot carry the load now; force to drain anyway"
+        detail = "remaining capacity cannot carry the load; force to drain anyway"
         return admin_problem(HTTPStatus.CONFLICT, detail, content=progress)
     accepted = await add_drain(
-        request.entry.platform, drain, request.who, reason, request.flag("dry_run")
+        request.entry.platform,
+        drain,
+        request.audit_name,
+        reason,
+        request.flag("dry_run"),
     )
-    return await accepted_answer(request, accepted)
+    return await change_response(request, accepted)
 
 
 async def delete_drain(request: AdminRequest) -> HttpResponse:
     """Cancel a drain."""
-    match _drain(request):
+    match _parse_drain(request):
         case Result(tag="ok", ok=drain):
             pass
         case Result(error=response):
@@ -69,21 +76,25 @@
     if not reason:
         return bad_request("give a reason, for the audit trail")
     accepted = await cancel_drain(
-        request.entry.platform, drain, request.who, reason, request.flag("dry_run")
+        request.entry.platform,
+        drain,
+        request.audit_name,
+        reason,
+        request.flag("dry_run"),
     )
-    return await accepted_answer(request, accepted)
+    return await change_response(request, accepted)
 
 
 def _progress(request: AdminRequest, drain: Drain) -> DrainProgress:
     return drain_progress(drain, [entry_status(request.entry)])
 
 
-def _drain(request: AdminRequest) -> Result[Drain, HttpResponse]:
+def _parse_drain(request: AdminRequest) -> Result[Drain, HttpResponse]:
     kinds = [kind.value for kind in DrainKind]
     kind, name = request.path["kind"], request.path["name"]
     if kind not in kinds:
         words = ", ".join(kinds)
         return Error(bad_request(f"{kind!r} is not one of: {words}"))
     if not NAME.fullmatch(name):
-        return Error(bad_request(f"{name!r} is not a name"))
+        return Error(bad_request(f"{name!r} is not a valid name"))
     return Ok(Drain(kind=DrainKind(kind), name=name))
--- a/bergamotcourse/daemons/admin_manifest.py
+++ b/bergamotcourse/daemons/admin_manifest.py
@@ -1,4 +1,4 @@
-"""The administration API's verbs on the configuration and its audit trail."""
+"""Handlers of the administration API for the manifest and its audit trail."""
 
 from dataclasses import dataclass, replace
 from http import HTTPStatus
@@ -25,7 +25,7 @@
     AdminRequest,
     admin_problem,
     bad_request,
-    error_answer,
+    error_response,
 )
 from bergamotcourse.errors import StepError
 from bergamotcourse.ids import ConfigVersion
@@ -37,12 +37,12 @@
 from bergamotcourse.transport.http import HttpResponse
 from bergamotcourse.transport.http_json import json_answer
 
-BODY_NAME = "manifest"
+MANIFEST_NAME_IN_ISSUES = "manifest"
 
 
 @dataclass(frozen=True)
 class ManifestAnswer:
-    """The manifest in force at an entry; of credentials only the start is shown."""
+    """The manifest in force at an entry, with credentials masked to a prefix."""
 
     version: int
     digest: str
@@ -50,23 +50,23 @@
 
 
 class ManifestBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A manifest to look at.
+    """A manifest to validate or compare.
 
     Attributes:
-        manifest: Its text in YAML, as the file has it.
+        manifest: The manifest as YAML text.
     """
 
     manifest: str
 
 
 class ApplyBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A manifest to be accepted.
+    """A manifest to apply.
 
     Attributes:
-        manifest: Its text in YAML, as the file has it.
+        manifest: The manifest as YAML text.
         reviewed_version: The version that the change was compared with.
-        reason: Why, for the audit trail.
-        dry_run: Compare only.
+        reason: Reason for the change, recorded in the audit trail.
+        dry_run: Only compare; change nothing.
     """
 
     manifest: str
@@ -76,10 +76,10 @@
 
 
 class RollbackBody(msgspec.Struct, forbid_unknown_fields=True):
-    """A version whose content comes back.
+    """An earlier version to restore.
 
     Attributes:
-        reviewed_version: The version that must be the newest; any if left out.
+        reviewed_version: The version expected to be the newest; unchecked if omitted.
     """
 
     version: int
@@ -89,7 +89,7 @@
 
 
 async def get_manifest(request: AdminRequest) -> HttpResponse:
-    """Answer with the manifest in force at this entry."""
+    """Return the manifest in force at this entry, with masked credentials."""
     config = request.entry.config
     return json_answer(
         ManifestAnswer(
@@ -99,8 +99,8 @@
 
 
 async def validate_manifest(request: AdminRequest) -> HttpResponse:
-    """Check a manifest whole."""
-    match _load(request, ManifestBody):
+    """Validate a manifest; the response lists all issues found."""
+    match _parse_manifest_body(request, ManifestBody):
         case Result(tag="ok", ok=(_, loaded)):
             found = digest(loaded.manifest)
             return json_answer(ValidReport(found, loaded.warnings))
@@ -109,26 +109,26 @@
 
 
 async def diff_manifest(request: AdminRequest) -> HttpResponse:
-    """Compare a manifest with the accepted one."""
-    match _load(request, ManifestBody):
+    """Compare a manifest with the newest accepted version."""
+    match _parse_manifest_body(request, ManifestBody):
         case Result(tag="ok", ok=(_, loaded)):
             pass
         case Result(error=response):
             return response
     current = await read_head_row(request.entry.platform)
     if current.is_error():
-        return error_answer(current.error)
+        return error_response(current.error)
     head = current.ok[1]
     base = await read_manifest(request.entry.platform, head)
     if base.is_error():
-        return error_answer(base.error)
+        return error_response(base.error)
     changes = diff_manifests(base.ok, loaded.manifest)
     return json_answer(DiffReport(head.version, mask_changes(changes)))
 
 
 async def apply_manifest(request: AdminRequest) -> HttpResponse:
-    """Have a reviewed manifest accepted."""
-    match _load(request, ApplyBody):
+    """Apply a reviewed manifest as the next version."""
+    match _parse_manifest_body(request, ApplyBody):
         case Result(tag="ok", ok=(body, loaded)):
             pass
         case Result(error=response):
@@ -139,15 +139,15 @@
         request.entry.platform,
         loaded.manifest,
         ConfigVersion(body.reviewed_version),
-        request.who,
+        request.audit_name,
         body.reason,
         body.dry_run,
     )
-    return await accepted_answer(request, accepted)
+    return await change_response(request, accepted)
 
 
 async def rollback_manifest(request: AdminRequest) -> HttpResponse:
-    """Accept the content of an earlier version anew."""
+    """Apply the content of an earlier version as the next version."""
     match request.decode(RollbackBody):
         case Result(tag="ok", ok=body):
             pass
@@ -159,16 +159,16 @@
     accepted = await config_store.rollback(
         request.entry.platform,
         ConfigVersion(body.version),
-        request.who,
+        request.audit_name,
         body.reason,
         None if reviewed is None else ConfigVersion(reviewed),
         body.dry_run,
     )
-    return await accepted_answer(request, accepted)
+    return await change_response(request, accepted)
 
 
 async def get_audit(request: AdminRequest) -> HttpResponse:
-    """Answer with the records that the query's filters let through."""
+    """Return the audit records that match the filters of the query."""
     first, last = request.number("first", 1), request.number("last", 0)
     for one in (first, last):
         if one.is_error():
@@ -182,24 +182,27 @@
     )
     records = await read_audit(request.entry.platform, wanted)
     if records.is_error():
-        return error_answer(records.error)
+        return error_response(records.error)
     return json_answer([_mask_record(record) for record in records.ok])
 
 
 async def get_verification(request: AdminRequest) -> HttpResponse:
-    """Check that the audit trail is whole."""
+    """Verify the integrity of the audit trail."""
     found = await verify_audit(request.entry.platform)
     if found.is_error():
-        return error_answer(found.error)
+        return error_response(found.error)
     return json_answer(verify_report(found.ok))
 
 
-async def accepted_answer(
+async def change_response(
     request: AdminRequest, accepted: Result[ApplyOutcome, StepError]
 ) -> HttpResponse:
-    """Return what became of a change; this entry takes it up at once."""
+    """Return the response to a change.
+
+    Polls the configuration, so that this entry applies the change immediately.
+    """
     if accepted.is_error():
-        return error_answer(accepted.error)
+        return error_response(accepted.error)
     report = _masked_report(accepted.ok)
     if isinstance(accepted.ok, LostRace):
         detail = (
@@ -225,14 +228,14 @@
     return replace(record, changes=mask_changes(record.changes))
 
 
-def _load(
+def _parse_manifest_body(
     request: AdminRequest, kind: type
 ) -> Result[tuple[ManifestBody | ApplyBody, ParsedManifest], HttpResponse]:
-    """Return a body and the manifest in it, or the refusal."""
+    """Return the decoded body and its parsed manifest, or the error response."""
     body = request.decode(kind)
     if body.is_error():
         return Error(bad_request(body.error))
-    loaded = parse_manifest(body.ok.manifest, BODY_NAME)
+    loaded = parse_manifest(body.ok.manifest, MANIFEST_NAME_IN_ISSUES)
     if loaded.is_error():
         status = HTTPStatus.UNPROCESSABLE_ENTITY
         detail = f"the manifest has {len(loaded.error)} issues"
--- a/bergamotcourse/daemons/admin_request.py
+++ b/bergamotcourse/daemons/admin_request.py
@@ -1,4 +1,4 @@
-"""One operator's or team's request to the administration API, and its answers."""
+"""Requests to the administration API and its problem responses."""
 
 from dataclasses import dataclass, field
 from http import HTTPStatus
@@ -17,7 +17,7 @@
 from bergamotcourse.transport.http import HttpResponse
 from bergamotcourse.transport.http_problem import ProblemDetails, encode_problem
 
-TRUE_WORDS = ("true", "1", "yes")
+TRUE_VALUES = ("true", "1", "yes")
 RETRY_SECONDS = 1.0
 
 T = TypeVar("T")
@@ -27,10 +27,10 @@
     """A problem of the administration API.
 
     Attributes:
-        step: Where the error arose.
-        peer: The other side, if there is one.
-        issues: What is wrong with a manifest.
-        content: What belongs to it: the winner of a lost race, a drain's progress.
+        step: The processing step at which the error occurred.
+        peer: Address or name of the peer involved, if any.
+        issues: Issues found in a manifest.
+        content: Details: the change that won a race, or the progress of a drain.
     """
 
     step: str = ""
@@ -41,13 +41,13 @@
 
 @dataclass
 class AdminRequest:
-    """A request that the route table let through.
+    """An authenticated request.
 
     Attributes:
-        operator: Who asks; ``None`` where a team does.
-        team: The team that asks; ``None`` where an operator does.
-        path: The values of the path's parameters, by name.
-        query: The values of the query, by name.
+        operator: The operator that sent it, if its token is an operator's.
+        team: The team that sent it, if its token is a team's.
+        path: Values of the path parameters, by name.
+        query: Values of the query parameters, by name.
     """
 
     entry: Entry
@@ -58,16 +58,16 @@
     body: bytes = b""
 
     @property
-    def who(self) -> str:
-        """Return the name for the audit trail."""
+    def audit_name(self) -> str:
+        """Return the operator's name as recorded in the audit trail."""
         return self.operator.name
 
     def flag(self, name: str) -> bool:
-        """Return whether a query parameter says true."""
-        return self.query.get(name, "").lower() in TRUE_WORDS
+        """Return whether a query parameter is set to a true value."""
+        return self.query.get(name, "").lower() in TRUE_VALUES
 
     def number(self, name: str, default: int) -> Result[int, str]:
-        """Return a whole number of the query, or what is wrong with it."""
+        """Return an integer query parameter, or an error message."""
         text = self.query.get(name)
         if text is None:
             return Ok(default)
@@ -76,7 +76,7 @@
         return Ok(int(text))
 
     def decode(self, kind: type[T]) -> Result[T, str]:
-        """Return the body as a type, or what is wrong with it."""
+        """Return the JSON body decoded as a type, or an error message."""
         try:
             return Ok(msgspec.json.decode(self.body, type=kind))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -86,7 +86,7 @@
 def admin_problem(
     status: HTTPStatus, detail: str, retry_after: float | None = None, **more: Any
 ) -> HttpResponse:
-    """Return problem details as a response."""
+    """Return a problem details response."""
     problem = AdminProblem(
         type=f"{PROBLEM_BASE}{status.name.lower()}",
         title=status.phrase,
@@ -98,25 +98,25 @@
 
 
 def bad_request(detail: str) -> HttpResponse:
-    """Return the response to a request that is malformed."""
+    """Return the response to a malformed request."""
     return admin_problem(HTTPStatus.BAD_REQUEST, detail)
 
 
-def error_answer(error: StepError) -> HttpResponse:
-    """Return an error as a response.
+def error_response(error: StepError) -> HttpResponse:
+    """Return the response to a failed operation.
 
-    504 says that the change may have been accepted, 503 that it was not.
+    504 means that the change may have been accepted, 503 that it was not.
     """
-    place = {"step": error.step.value, "peer": error.peer}
+    origin = {"step": error.step.value, "peer": error.peer}
     if may_have_taken_effect(error):
         detail = f"{error.detail}; the change may have been accepted: ask again"
-        return admin_problem(HTTPStatus.GATEWAY_TIMEOUT, detail, **place)
+        return admin_problem(HTTPStatus.GATEWAY_TIMEOUT, detail, **origin)
     if isinstance(error, PlatformError):
         status = HTTPStatus.SERVICE_UNAVAILABLE
-        return admin_problem(status, error.detail, RETRY_SECONDS, **place)
+        return admin_problem(status, error.detail, RETRY_SECONDS, **origin)
     match error.step:
         case Step.DECODE:
             status = HTTPStatus.BAD_GATEWAY
         case _:
             status = HTTPStatus.NOT_FOUND
-    return admin_problem(status, error.detail, **place)
+    return admin_problem(status, error.detail, **origin)
--- a/bergamotcourse/daemons/admin_routes.py
+++ b/bergamotcourse/daemons/admin_routes.py
@@ -1,4 +1,4 @@
-"""The routes of the administration API: who may do what where."""
+"""The routes of the administration API, with the role that each requires."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class QueryParameter:
-    """A parameter of the query."""
+    """A query parameter of a route."""
 
     name: str
     help: str
@@ -35,17 +35,17 @@
 
 @dataclass(frozen=True)
 class Route:
-    """One operation.
+    """One operation of the API.
 
     Attributes:
-        path: With parameters in braces, each one segment.
-        summary: One line.
-        role: The least role that an operator needs.
-        handler: Answers a request that may be made.
-        answer: The type of the answer.
-        body: The type of the body, if it has one.
-        query: The parameters of the query.
-        teams: A team may make it for itself.
+        path: Path pattern; each parameter in braces matches one segment.
+        summary: One-line description for the OpenAPI document.
+        role: The lowest role that permits the operation.
+        handler: Handles an authorized request.
+        answer: Type of the response body.
+        body: Type of the request body, if there is one.
+        query: Accepted query parameters.
+        teams: Whether a team may use it for its own work.
     """
 
     method: str
@@ -60,7 +60,7 @@
 
 
 async def get_status(request: AdminRequest) -> HttpResponse:
-    """Answer with this entry's status."""
+    """Return the status of this entry."""
     return json_answer(entry_status(request.entry))
 
 
@@ -71,9 +71,11 @@
     QueryParameter("first", "first version", int),
     QueryParameter("last", "last version", int),
 )
-REASON = QueryParameter("reason", "why, for the audit trail", required=True)
+REASON = QueryParameter(
+    "reason", "reason for the change, for the audit trail", required=True
+)
 DRY_RUN = QueryParameter("dry_run", "compare only", bool)
-FORCE = QueryParameter("force", "also where what remains cannot carry the load", bool)
+FORCE = QueryParameter("force", "skip the check of the remaining capacity", bool)
 
 MANIFEST = "/v1/manifest"
 DRAIN = "/v1/drains/{kind}/{name}"
@@ -82,7 +84,7 @@
     Route(
         "GET",
         "/v1/status",
-        "The status of this entry and of what it knows.",
+        "The status of this entry and of the agents and peers it knows.",
         Role.VIEWER,
         get_status,
         EntryStatus,
@@ -98,7 +100,7 @@
     Route(
         "POST",
         MANIFEST + "/validate",
-        "Check a manifest whole.",
+        "Validate a manifest and report all issues.",
         Role.VIEWER,
         admin_manifest.validate_manifest,
         ValidReport,
@@ -107,7 +109,7 @@
     Route(
         "POST",
         MANIFEST + "/diff",
-        "Compare a manifest with the accepted one.",
+        "Compare a manifest with the newest accepted version.",
         Role.VIEWER,
         admin_manifest.diff_manifest,
         DiffReport,
@@ -116,7 +118,7 @@
     Route(
         "POST",
         MANIFEST + "/apply",
-        "Have a reviewed manifest accepted.",
+        "Apply a reviewed manifest.",
         Role.ADMIN,
         admin_manifest.apply_manifest,
         AcceptReport,
@@ -125,7 +127,7 @@
     Route(
         "POST",
         MANIFEST + "/rollback",
-        "Accept the content of an earlier version anew.",
+        "Apply the content of an earlier version as a new version.",
         Role.ADMIN,
         admin_manifest.rollback_manifest,
         AcceptReport,
@@ -143,7 +145,7 @@
     Route(
         "GET",
         "/v1/audit/verify",
-        "Check that the audit trail is whole.",
+        "Verify the integrity of the audit trail.",
         Role.VIEWER,
         admin_manifest.get_verification,
         VerifyReport,
@@ -167,7 +169,7 @@
     Route(
         "PUT",
         DRAIN,
-        "Take something out of service: an accepted change of the configuration.",
+        "Drain something from service; this is a change of the configuration.",
         Role.OPERATOR,
         admin_drains.put_drain,
         AcceptReport,
@@ -176,7 +178,7 @@
     Route(
         "DELETE",
         DRAIN,
-        "Cancel a drain: an accepted change of the configuration.",
+        "Cancel a drain; this is a change of the configuration.",
         Role.OPERATOR,
         admin_drains.delete_drain,
         AcceptReport,
--- a/bergamotcourse/daemons/admin_teams.py
+++ b/bergamotcourse/daemons/admin_teams.py
@@ -1,4 +1,4 @@
-"""What a team, or an operator for it, may read of its work at this entry."""
+"""Handlers of the administration API for the usage and jobs of a team."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -15,16 +15,16 @@
 from bergamotcourse.transport.http import HttpResponse
 from bergamotcourse.transport.http_json import json_answer
 
-MOST_JOBS = 1000
+MAX_LISTED_JOBS = 1000
 
 
 @dataclass(frozen=True)
 class TeamUsage:
-    """A team's work at one entry, beside its limits in the configuration.
+    """Tasks of a team at one entry, with the team's configured limits.
 
     Attributes:
         in_flight: Tasks at agents.
-        queued: Tasks that wait at the entry.
+        queued: Tasks queued at the entry.
     """
 
     team: str
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True)
 class JobStatus:
-    """A job under a key that this entry runs, or whose answer it keeps.
+    """A job that this entry runs, or whose result it retains.
 
     Attributes:
-        submission: Hash of team and key, in hex; the key itself is not kept.
-        outcome: Of the whole job; ``None`` while it runs.
+        submission: Hash of team and idempotency key, in hex; the key is not stored.
+        outcome: Outcome of the whole job; ``None`` while it runs.
     """
 
     submission: str
@@ -51,8 +51,8 @@
 
 
 async def get_usage(request: AdminRequest) -> HttpResponse:
-    """Answer with a team's usage at this entry."""
-    team = _team(request)
+    """Return the usage of a team at this entry."""
+    team = _authorized_team(request)
     if isinstance(team, HttpResponse):
         return team
     dispatcher = request.entry.dispatcher
@@ -61,7 +61,7 @@
         TeamUsage(
             team=team.name,
             in_flight=in_flight[team.name],
-            queued=_queued(request, team.name),
+            queued=_queued_tasks(request, team.name),
             max_in_flight=team.max_in_flight,
             quota_starts_per_second=team.quota_starts_per_second,
         )
@@ -69,20 +69,20 @@
 
 
 async def list_jobs(request: AdminRequest) -> HttpResponse:
-    """Answer with a team's jobs at this entry, those that run first."""
-    team = _team(request)
+    """Return the jobs of a team at this entry, running jobs first."""
+    team = _authorized_team(request)
     if isinstance(team, HttpResponse):
         return team
     jobs = [
-        _job(submission)
+        _job_status(submission)
         for submission in _submissions(request)
         if submission.team == team.name and submission.kind is SubmissionKind.JOB
     ]
-    return json_answer(jobs[:MOST_JOBS])
+    return json_answer(jobs[:MAX_LISTED_JOBS])
 
 
-def _team(request: AdminRequest) -> Team | HttpResponse:
-    """Return the team that is asked about, or the refusal."""
+def _authorized_team(request: AdminRequest) -> Team | HttpResponse:
+    """Return the requested team, or the response that denies access to it."""
     name = request.path["team"]
     own = request.team
     if own is not None and (own.name != name or TeamRole.READ not in own.roles):
@@ -94,7 +94,7 @@
     return admin_problem(HTTPStatus.NOT_FOUND, f"no team is named {name!r}")
 
 
-def _queued(request: AdminRequest, team: str) -> int:
+def _queued_tasks(request: AdminRequest, team: str) -> int:
     queues = request.entry.dispatcher.queues.values()
     waiting = [kind.teams.get(team) for q in queues for kind in (q.singles, q.jobs)]
     return sum(queue.size for queue in waiting if queue)
@@ -107,7 +107,7 @@
         yield submission
 
 
-def _job(submission: Submission) -> JobStatus:
+def _job_status(submission: Submission) -> JobStatus:
     done = submission.done.is_set()
     return JobStatus(
         submission=submission.id.hex(),
--- a/bergamotcourse/daemons/agent.py
+++ b/bergamotcourse/daemons/agent.py
@@ -1,4 +1,4 @@
-"""The agent daemon: an agent between its local listener, its link and the platform."""
+"""The agent daemon: starts and stops the parts of an agent process."""
 
 import random
 
@@ -12,7 +12,7 @@
 from bergamotcourse.coordination.timers import Timers
 from bergamotcourse.daemons.agent_api import AgentApi
 from bergamotcourse.daemons.log_file import open_log
-from bergamotcourse.daemons.metric_samples import agent_sample, time_agent
+from bergamotcourse.daemons.metric_samples import agent_sample, record_agent_task_times
 from bergamotcourse.daemons.metrics import MetricsReporter, Timings
 from bergamotcourse.daemons.process import (
     serve_http,
@@ -29,12 +29,12 @@
 
 REGISTRATION_SECONDS = 2.0
 
-LAST_RESULTS_SECONDS = 1.0
-"""For the entries to say that they have all results, upon a stop."""
+RESULT_ACK_SECONDS = 1.0
+"""Wait for the entries to acknowledge all results when the agent stops."""
 
 
 async def run_agent(settings: AgentSettings) -> None:
-    """Run an agent until it is stopped."""
+    """Run an agent until it receives a stop signal."""
     open_log(settings.log)
     rng = random.Random()
     timers = Timers(rng)
@@ -42,14 +42,14 @@
     platform = PlatformClient.connect(
         settings.platform.host, settings.platform.port, settings.name
     )
-    place = AgentLocation(
+    location = AgentLocation(
         AgentId(settings.name), settings.zone, settings.rack, settings.worker
     )
-    agent = Agent(place, agent_limits(settings), mailer, timers, rng)
+    agent = Agent(location, agent_limits(settings), mailer, timers, rng)
     AgentTracer(agent)
     if settings.statsd is not None:
         timings = Timings(rng)
-        time_agent(agent, timings)
+        record_agent_task_times(agent, timings)
         MetricsReporter(
             settings.statsd,
             "agent",
@@ -84,10 +84,10 @@
             eliot.log_message("agent:stopping", agent=agent.location.id)
             agent.begin_leaving()
             if not await wait_until(is_idle, settings.drain_seconds):
-                give_up(agent)
-                await wait_until(is_idle, LAST_RESULTS_SECONDS)
+                cancel_all_tasks(agent)
+                await wait_until(is_idle, RESULT_ACK_SECONDS)
             agent.report_to_all()
-            await wait_until(lambda: not agent.attachments, LAST_RESULTS_SECONDS)
+            await wait_until(lambda: not agent.attachments, RESULT_ACK_SECONDS)
             with trio.move_on_after(REGISTRATION_SECONDS):
                 await registration.leave()
 
@@ -107,17 +107,19 @@
     await platform.aclose()
 
 
-def give_up(agent: Agent) -> None:
-    """Cancel all tasks, so that their entries are told an outcome."""
+def cancel_all_tasks(agent: Agent) -> None:
+    """Cancel all tasks, so that their entries receive an outcome."""
     eliot.log_message("agent:gave_up_waiting", agent=agent.location.id)
     for submission, index in list(agent.runner.tasks):
         agent.runner.cancel(submission, index)
 
 
 def agent_row(agent: Agent, address: str) -> AgentRow:
-    """Return the row by which entries find an agent."""
-    place = agent.location
-    return AgentRow(place.id, address, place.zone, place.rack, place.worker, agent.boot)
+    """Return the store row by which entries discover an agent."""
+    location = agent.location
+    return AgentRow(
+        location.id, address, location.zone, location.rack, location.worker, agent.boot
+    )
 
 
 def agent_limits(settings: AgentSettings) -> AgentLimits:
--- a/bergamotcourse/daemons/agent_api.py
+++ b/bergamotcourse/daemons/agent_api.py
@@ -1,4 +1,4 @@
-"""What upstreams meet at their agent: announcing, renewing and leaving, over HTTP."""
+"""The local HTTP API of an agent, where upstreams register, renew and leave."""
 
 import ipaddress
 from http import HTTPStatus
@@ -14,16 +14,16 @@
 from bergamotcourse.transport.http_problem import plain_problem
 
 UPSTREAMS_PREFIX = "/v1/upstreams/"
-MOST_SLOTS = 10_000
+MAX_SLOTS = 10_000
 
 
 class Announcement(msgspec.Struct, forbid_unknown_fields=True):
-    """What an upstream tells of itself.
+    """The registration that an upstream sends.
 
     Attributes:
         address: ``IP:PORT`` of its HTTP listener.
-        slots: Requests it serves at the same time.
-        connections: Connections it takes.
+        slots: Maximum number of concurrent requests.
+        connections: Maximum number of connections.
     """
 
     service: str
@@ -35,19 +35,19 @@
 
 
 class RenewalAdvice(msgspec.Struct):
-    """The answer to an announcement."""
+    """The response to an announcement: when to renew it, in seconds."""
 
     renew_within_seconds: float
 
 
 class AgentApi:
-    """Answers the requests of an agent's local listener."""
+    """Handles the requests to an agent's local listener."""
 
     def __init__(self, agent: Agent):
         self.agent = agent
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Handle one request."""
         path = urlsplit(request.target).path
         match path:
             case "/healthz":
@@ -63,7 +63,7 @@
             case "DELETE":
                 return self._leave(upstream_id)
             case method:
-                detail = f"{method} is not for upstreams; use PUT or DELETE"
+                detail = f"{method} is not allowed for upstreams; use PUT or DELETE"
                 return plain_problem(HTTPStatus.METHOD_NOT_ALLOWED, detail)
 
     def _readiness(self) -> HttpResponse:
@@ -76,7 +76,7 @@
             announced = msgspec.json.decode(request.body, type=Announcement)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return plain_problem(HTTPStatus.BAD_REQUEST, str(error))
-        fault = _fault(upstream_id, announced)
+        fault = _announcement_fault(upstream_id, announced)
         if fault:
             return plain_problem(HTTPStatus.BAD_REQUEST, fault)
         self.agent.announce(self._upstream(upstream_id, announced))
@@ -106,8 +106,8 @@
         return HttpResponse(HTTPStatus.ACCEPTED)
 
 
-def _fault(upstream_id: str, announced: Announcement) -> str:
-    """Return what is wrong with an announcement, if anything."""
+def _announcement_fault(upstream_id: str, announced: Announcement) -> str:
+    """Return why an announcement is invalid, or ``""`` if it is valid."""
     host, _, port = announced.address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -117,8 +117,8 @@
         return f"address {announced.address!r} has no port from 1 to 65535"
     if not upstream_id or not announced.service:
         return "the upstream or its service has no name"
-    if not 0 < announced.slots <= MOST_SLOTS:
-        return f"slots {announced.slots} is not from 1 to {MOST_SLOTS}"
-    if not 0 < announced.connections <= MOST_SLOTS:
-        return f"connections {announced.connections} is not from 1 to {MOST_SLOTS}"
+    if not 0 < announced.slots <= MAX_SLOTS:
+        return f"slots {announced.slots} is not from 1 to {MAX_SLOTS}"
+    if not 0 < announced.connections <= MAX_SLOTS:
+        return f"connections {announced.connections} is not from 1 to {MAX_SLOTS}"
     return ""
--- a/bergamotcourse/daemons/caller.py
+++ b/bergamotcourse/daemons/caller.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way to a submission."""
+"""Turns the requests of a caller into submissions to the entry."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -20,23 +20,27 @@
 
 @dataclass
 class Caller:
-    """Who calls which entry, by the manifest in force."""
+    """An authenticated team and the entry that it calls.
+
+    Attributes:
+        access: Index of the teams and services in the current manifest.
+    """
 
     team: Team
     access: Access
     entry: Entry
 
     def service(self, name: str) -> Service | None:
-        """Return a service of the manifest by its name."""
+        """Return a service of the manifest by name, or ``None`` if there is none."""
         return self.access.services.get(ServiceName(name))
 
-    def refusal(
+    def refusal_response(
         self, name: str, service: Service | None, request: HttpRequest
     ) -> HttpResponse | None:
-        """Return the answer to what the manifest forbids, if it does.
+        """Return the error response if the manifest forbids a request, else ``None``.
 
-        It says "not run" only of a request without a key: under its key, an earlier
-        request may have run before the manifest changed.
+        The outcome "not run" is given only without an idempotency key: with a key,
+        an earlier request may have run before the manifest changed.
         """
         outcome = None if request.header(KEY_HEADER) else Outcome.NOT_RUN
         if service is None:
@@ -50,14 +54,14 @@
             return problem(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, detail, outcome)
         return None
 
-    def submission(
+    def build_submission(
         self,
         kind: SubmissionKind,
         service: Service,
         tasks: list[TaskRequest],
         timeout: float,
     ) -> Submission:
-        """Return a submission without a key; its deadline is in so many seconds."""
+        """Return a submission without a key, due ``timeout`` seconds from now."""
         return Submission(
             id=SubmissionId(self.entry.rng.randbytes(16)),
             kind=kind,
@@ -69,25 +73,25 @@
             weight=self.team.weight,
         )
 
-    def identify(self, submission: Submission, key: str) -> None:
-        """Name a submission by its key."""
+    def assign_key(self, submission: Submission, key: str) -> None:
+        """Set the identity of a submission from its idempotency key."""
         submission.id = submission_id(self.team.name, key)
         submission.key = key_kind(key)
 
     async def run_keyed(
         self, submission: Submission, key: str, write_ahead: bool
     ) -> SubmissionAnswer:
-        """Run a submission under its key, or join the one that runs."""
+        """Run a submission under its key, or wait for the one already running."""
         bad_key = check_key(key)
         if bad_key:
             return Refused(Outcome.NOT_RUN, bad_key, invalid=True)
-        self.identify(submission, key)
+        self.assign_key(submission, key)
         ahead = write_ahead and self.access.manifest.write_ahead
         with self._traced(submission):
             return await self.entry.submissions.run_keyed(submission, ahead)
 
     async def run_unkeyed(self, submission: Submission) -> SubmissionAnswer:
-        """Run a submission that no one can submit again."""
+        """Run a submission without a key, which cannot be resubmitted."""
         with self._traced(submission):
             return await self.entry.submissions.run_unkeyed(submission)
 
@@ -99,9 +103,9 @@
         finally:
             self.entry.tracer.end_trace(submission)
 
-    def begin_keyed(self, submission: Submission, key: str) -> None:
-        """Run a submission under its key that is waited for later."""
-        self.identify(submission, key)
+    def start_keyed(self, submission: Submission, key: str) -> None:
+        """Start a submission under its key without waiting for its result."""
+        self.assign_key(submission, key)
         write_ahead = self.access.manifest.write_ahead
         self.entry.submissions.start_keyed(submission, write_ahead)
 
--- a/bergamotcourse/daemons/entry.py
+++ b/bergamotcourse/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: an entry between its HTTP listener, its link and the platform."""
+"""The entry daemon: starts and stops the parts of an entry process."""
 
 import random
 
@@ -10,7 +10,11 @@
 from bergamotcourse.daemons.admin_api import AdminApi
 from bergamotcourse.daemons.entry_api import EntryApi
 from bergamotcourse.daemons.log_file import open_log
-from bergamotcourse.daemons.metric_samples import entry_sample, time_entry, timed
+from bergamotcourse.daemons.metric_samples import (
+    entry_sample,
+    record_entry_task_times,
+    with_response_times,
+)
 from bergamotcourse.daemons.metrics import MetricsReporter, Timings
 from bergamotcourse.daemons.process import (
     POLL_SECONDS,
@@ -24,14 +28,14 @@
 from bergamotcourse.transport.nng_link import NngLink
 
 ADMIN_BODY_BYTES = 8 << 20
-"""A manifest of a few hundred teams is about 100 kB."""
+"""Limit of an administration request; a manifest of some hundred teams has 100 kB."""
 
-LAST_ANSWERS_SECONDS = 1.0
-"""For the answers to those that a stop did not wait for any longer."""
+FINAL_ANSWERS_SECONDS = 1.0
+"""Wait for the responses of submissions that were cancelled by a stop."""
 
 
 async def run_entry(settings: EntrySettings) -> None:
-    """Run an entry until it is stopped."""
+    """Run an entry until it receives a stop signal."""
     open_log(settings.log)
     rng = random.Random()
     timers = Timers(rng)
@@ -43,8 +47,8 @@
     server = callers_server(settings, entry, rng)
     admin = admin_server(settings, entry)
 
-    async def finish_work(timeout: float) -> bool:
-        """Return true once nothing is open, false after a timeout in seconds."""
+    async def wait_until_idle(timeout: float) -> bool:
+        """Return true once no request is open, false after a timeout in seconds."""
         with trio.move_on_after(timeout):
             await server.wait_stopped()
             while entry.dispatcher.in_flight or entry.dispatcher.queued():
@@ -56,9 +60,9 @@
         eliot.log_message("entry:stopping", entry=entry.id)
         await entry.begin_stop()
         server.begin_stop()
-        if not await finish_work(settings.drain_seconds):
-            give_up(entry)
-            await finish_work(LAST_ANSWERS_SECONDS)
+        if not await wait_until_idle(settings.drain_seconds):
+            cancel_open_submissions(entry)
+            await wait_until_idle(FINAL_ANSWERS_SECONDS)
         await entry.leave()
         await mailer.drain(1.0)
 
@@ -80,12 +84,15 @@
 def callers_server(
     settings: EntrySettings, entry: Entry, rng: random.Random
 ) -> HttpServer:
-    """Return the server of the callers' API; what it answers is measured."""
+    """Return the server of the callers' API.
+
+    With a statsd address in the settings, its responses are timed and reported.
+    """
     handler = EntryApi(entry).handle
     if settings.statsd is not None:
         timings = Timings(rng)
-        time_entry(entry, timings)
-        handler = timed(handler, entry.timers, timings)
+        record_entry_task_times(entry, timings)
+        handler = with_response_times(handler, entry.timers, timings)
         reporter = MetricsReporter(
             settings.statsd,
             "entry",
@@ -112,7 +119,7 @@
 
 
 def admin_server(settings: EntrySettings, entry: Entry) -> list[HttpServer]:
-    """Return the server of the administration API, if the settings name one."""
+    """Return the server of the administration API, or no server if not configured."""
     if settings.admin is None:
         return []
     listen = settings.admin
@@ -120,8 +127,8 @@
     return [HttpServer(listen.host, listen.port, AdminApi(entry).handle, limits)]
 
 
-def give_up(entry: Entry) -> None:
-    """Give all open work its final outcome, so that each caller gets an answer."""
+def cancel_open_submissions(entry: Entry) -> None:
+    """Cancel all open submissions, so that each caller receives a final outcome."""
     eliot.log_message("entry:gave_up_waiting", entry=entry.id)
     dispatcher = entry.dispatcher
     tasks = list(dispatcher.in_flight.values())
--- a/bergamotcourse/daemons/entry_api.py
+++ b/bergamotcourse/daemons/entry_api.py
@@ -1,4 +1,4 @@
-"""What callers meet: jobs, session requests and health, over HTTP."""
+"""The HTTP API of an entry for callers: jobs, session requests and health checks."""
 
 from http import HTTPStatus
 from urllib.parse import unquote, urlsplit
@@ -22,19 +22,19 @@
 
 
 class EntryApi:
-    """Answers callers' requests.
+    """Handles the requests of callers.
 
     Attributes:
-        access: Index of the manifest in force.
+        access: Index of the teams and services in the current manifest.
     """
 
     def __init__(self, entry: Entry):
         self.entry = entry
         self.access = index_access(entry.config.version, entry.config.manifest)
-        entry.config.subscribe(self._take_manifest)
+        entry.config.subscribe(self._update_access)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Authenticate and handle one request."""
         path = urlsplit(request.target).path
         match path:
             case "/healthz":
@@ -68,7 +68,7 @@
                     return await cancel_job(caller, key)
         return problem(HTTPStatus.NOT_FOUND, f"nothing is at {path}")
 
-    def _take_manifest(self, version: ConfigVersion, manifest: Manifest) -> None:
+    def _update_access(self, version: ConfigVersion, manifest: Manifest) -> None:
         self.access = index_access(version, manifest)
 
     def _readiness(self) -> HttpResponse:
--- a/bergamotcourse/daemons/job_agent.py
+++ b/bergamotcourse/daemons/job_agent.py
@@ -1,4 +1,4 @@
-"""The agent of the job dispatcher: one upstream on one side, entries on the other."""
+"""The agent of the job dispatcher: runs tasks of entries at one upstream."""
 
 import trio
 
@@ -9,20 +9,20 @@
     EntryRows,
     UpstreamRows,
 )
-from bergamotcourse.daemons.job_process import Node, link_address, server
+from bergamotcourse.daemons.job_process import Node, job_http_server, link_address
 from bergamotcourse.daemons.process import serve_http, wait_until
 from bergamotcourse.state.node_settings import NodeSettings
 
-STOP_RUNS_SECONDS = 1.2
-"""Kept at the end of the time for a stop: runs that are not done are stopped, so that
-their entries can place them elsewhere."""
+RUN_STOP_RESERVE_SECONDS = 1.2
+"""Reserved at the end of the stop time, to stop unfinished runs so that their entries
+can place them elsewhere."""
 
-LAST_OUTCOMES_SECONDS = 0.5
-"""For the entries to confirm the last outcomes."""
+OUTCOME_ACK_SECONDS = 0.5
+"""Wait for the entries to acknowledge the last outcomes."""
 
 
 class JobAgent:
-    """An agent."""
+    """An agent process of the job dispatcher."""
 
     def __init__(self, node: Node):
         self.node = node
@@ -46,7 +46,7 @@
         )
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Start all parts."""
+        """Start all tasks of the agent in a nursery."""
         node = self.node
         self.contacts.add_entries(node.seeds())
         self.nursery = nursery
@@ -56,13 +56,13 @@
             nursery.start_soon(self._recall_upstream)
         await nursery.start(self.executor.run)
         nursery.start_soon(self.contacts.run)
-        nursery.start_soon(serve_http, server(node.settings.reports, reports))
+        nursery.start_soon(serve_http, job_http_server(node.settings.reports, reports))
         nursery.start_soon(
             rows.poll_entries, self.contacts.add_entries, AGENT_ENTRY_POLL_SECONDS
         )
 
     async def _recall_upstream(self) -> None:
-        """Take up the upstream that the process before this one has known."""
+        """Restore the upstream from the report that the previous process stored."""
         report = await self.upstreams.read_own(self.node.address)
         if report is not None and self.executor.life is None:
             self.upstreams.last_stored = report
@@ -78,20 +78,20 @@
             )
 
     def settings_changed(self, settings: NodeSettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
         self.contacts.add_entries([link_address(seed) for seed in settings.seeds])
 
     async def stop(self) -> None:
-        """Finish what runs, or stop it for others to run, then end."""
+        """Wait for runs to finish, stop the rest, and notify the entries."""
         executor = self.executor
         self.node.log.write("agent.stopping", runs=len(executor.registry.runs))
         executor.stopping = True
         executor.registry.return_queued_runs("the agent is stopping")
         self.contacts.notify_all_entries()
-        seconds = self.node.settings.stop_seconds - STOP_RUNS_SECONDS
+        seconds = self.node.settings.stop_seconds - RUN_STOP_RESERVE_SECONDS
         if not await wait_until(lambda: not executor.registry.runs, seconds):
             executor.stop_all_runs("the agent is stopping")
-            await wait_until(lambda: not executor.registry.runs, LAST_OUTCOMES_SECONDS)
-        await wait_until(self.contacts.all_outcomes_acknowledged, LAST_OUTCOMES_SECONDS)
+            await wait_until(lambda: not executor.registry.runs, OUTCOME_ACK_SECONDS)
+        await wait_until(self.contacts.all_outcomes_acknowledged, OUTCOME_ACK_SECONDS)
         if not executor.registry.runs:
             self.contacts.send_farewells()
--- a/bergamotcourse/daemons/job_api.py
+++ b/bergamotcourse/daemons/job_api.py
@@ -1,4 +1,4 @@
-"""Jobs: submitting one, waiting for its whole answer, cancelling it."""
+"""The job API: submit a job, wait for its result, cancel it."""
 
 from http import HTTPStatus
 from urllib.parse import parse_qs, urlsplit
@@ -16,51 +16,54 @@
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 
 JOBS_PATH = "/v1/jobs"
-LONGEST_POLL_SECONDS = 60.0
-MOST_TASKS = 1600
-"""For a job without a job class."""
+MAX_POLL_SECONDS = 60.0
+DEFAULT_MAX_TASKS = 1600
+"""Limit for jobs without a job class."""
 
 
 async def submit_job(caller: Caller, request: HttpRequest) -> HttpResponse:
-    """Answer ``POST /v1/jobs``: the whole answer, or 202 where it is asked for."""
+    """Handle ``POST /v1/jobs``.
+
+    Returns the result of the job, or 202 if the request has ``Prefer: respond-async``.
+    """
     match parse_job(request.body):
         case Result(tag="ok", ok=job):
             pass
         case Result(error=detail):
-            return _bad(f"the job is not valid: {detail}")
+            return _bad_request(f"the job is not valid: {detail}")
     service = caller.service(job.service)
-    refusal = caller.refusal(job.service, service, request)
+    refusal = caller.refusal_response(job.service, service, request)
     if refusal is not None:
         return refusal
     key = request.header(KEY_HEADER)
     if not key:
-        return _bad(f"a job needs the header {KEY_HEADER}")
-    match _tasks(caller, job):
+        return _bad_request(f"a job needs the header {KEY_HEADER}")
+    match _parse_tasks(caller, job):
         case Result(tag="ok", ok=tasks):
-            submission = _submission(caller, job, service, tasks)
-            return await _run(caller, submission, key, request)
+            submission = _build_submission(caller, job, service, tasks)
+            return await _run_job(caller, submission, key, request)
         case Result(error=detail):
-            return _bad(detail)
+            return _bad_request(detail)
 
 
 async def wait_for_job(caller: Caller, key: str, request: HttpRequest) -> HttpResponse:
-    """Answer ``GET /v1/jobs/KEY?wait=SECONDS``: the answer, or 202 if it runs on."""
+    """Handle ``GET /v1/jobs/KEY?wait=SECONDS``: the result, or 202 if still running."""
     if TeamRole.READ not in caller.team.roles:
         return problem(HTTPStatus.FORBIDDEN, f"{caller.team.name} may not read jobs")
     query = parse_qs(urlsplit(request.target).query)
     wait = parse_seconds(query.get("wait", ["0"])[0])
     if wait is None:
-        return _bad("wait is not a number of seconds")
-    deadline = caller.entry.timers.now() + min(wait, LONGEST_POLL_SECONDS)
+        return _bad_request("wait is not a number of seconds")
+    deadline = caller.entry.timers.now() + min(wait, MAX_POLL_SECONDS)
     identity = submission_id(caller.team.name, key)
     answer = await caller.entry.submissions.wait(identity, key_kind(key), deadline)
     if answer is None:
-        return _accepted(key, [("retry-after", "1")])
+        return _accepted_response(key, [("retry-after", "1")])
     return job_response(caller.entry.rng, answer)
 
 
 async def cancel_job(caller: Caller, key: str) -> HttpResponse:
-    """Answer ``DELETE /v1/jobs/KEY``: each task's outcome after the cancellation."""
+    """Handle ``DELETE /v1/jobs/KEY``: cancel, and return the outcome of each task."""
     if TeamRole.CANCEL not in caller.team.roles:
         return problem(HTTPStatus.FORBIDDEN, f"{caller.team.name} may not cancel jobs")
     found = caller.entry.submissions.find(submission_id(caller.team.name, key))
@@ -70,7 +73,7 @@
     return job_response(caller.entry.rng, answer)
 
 
-async def _run(
+async def _run_job(
     caller: Caller, submission: Submission, key: str, request: HttpRequest
 ) -> HttpResponse:
     if "respond-async" not in request.header("prefer"):
@@ -78,29 +81,29 @@
         return job_response(caller.entry.rng, answer)
     bad_key = check_key(key)
     if bad_key:
-        return _bad(bad_key)
-    caller.begin_keyed(submission, key)
-    return _accepted(key, [])
+        return _bad_request(bad_key)
+    caller.start_keyed(submission, key)
+    return _accepted_response(key, [])
 
 
-def _submission(
+def _build_submission(
     caller: Caller, job: JobBody, service: Service, tasks: list[TaskRequest]
 ) -> Submission:
     job_class = _job_class(caller, job)
     longest = job_class.timeout_seconds if job_class else service.timeout_seconds
     timeout = min(job.timeout_seconds or longest, longest)
-    return caller.submission(SubmissionKind.JOB, service, tasks, timeout)
+    return caller.build_submission(SubmissionKind.JOB, service, tasks, timeout)
 
 
 def _job_class(caller: Caller, job: JobBody) -> JobClass | None:
     return caller.access.job_classes.get(job.job_class)
 
 
-def _tasks(caller: Caller, job: JobBody) -> Result[list[TaskRequest], str]:
+def _parse_tasks(caller: Caller, job: JobBody) -> Result[list[TaskRequest], str]:
     job_class = _job_class(caller, job)
     if job.job_class and job_class is None:
         return Error(f"no job class is named {job.job_class!r}")
-    most = job_class.max_tasks if job_class else MOST_TASKS
+    most = job_class.max_tasks if job_class else DEFAULT_MAX_TASKS
     if not 0 < len(job.tasks) <= most:
         return Error(f"{len(job.tasks)} tasks; give from 1 to {most}")
     tasks = []
@@ -113,10 +116,10 @@
     return Ok(tasks)
 
 
-def _accepted(key: str, headers: list[tuple[str, str]]) -> HttpResponse:
+def _accepted_response(key: str, headers: list[tuple[str, str]]) -> HttpResponse:
     location = ("location", f"{JOBS_PATH}/{key}")
     return HttpResponse(HTTPStatus.ACCEPTED, [location, *headers])
 
 
-def _bad(detail: str) -> HttpResponse:
+def _bad_request(detail: str) -> HttpResponse:
     return problem(HTTPStatus.BAD_REQUEST, detail)
--- a/bergamotcourse/daemons/job_entry.py
+++ b/bergamotcourse/daemons/job_entry.py
@@ -1,4 +1,4 @@
-"""The entry of the job dispatcher: callers on one side, agents on the other."""
+"""The entry of the job dispatcher: takes jobs from callers, sends tasks to agents."""
 
 import trio
 
@@ -15,26 +15,26 @@
     EntryRows,
     UpstreamRows,
 )
-from bergamotcourse.daemons.job_process import Node, link_address, server
+from bergamotcourse.daemons.job_process import Node, job_http_server, link_address
 from bergamotcourse.daemons.process import serve_http
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.message import Message
 from bergamotcourse.protocol.task_messages import AgentTurn, Farewell
 from bergamotcourse.state.node_settings import NodeSettings
 
-BALANCER_SECONDS = 2.3
-"""After a stop began callers still come: the balancer asks each second whether this
-entry is ready, and turns away after two misses."""
+BALANCER_REACTION_SECONDS = 2.3
+"""How long an entry still accepts callers after a stop begins: the balancer checks
+readiness each second and stops sending after two failed checks."""
 
-ANSWER_SECONDS = 0.7
-"""Kept at the end of the time for a stop, for the last answers to leave."""
+ANSWER_RESERVE_SECONDS = 0.7
+"""Reserved at the end of the stop time, for sending the last answers."""
 
 
 class JobEntry:
-    """An entry.
+    """An entry process of the job dispatcher.
 
     Attributes:
-        stopping: A planned stop has begun.
+        stopping: Whether a planned stop has begun.
     """
 
     def __init__(self, node: Node):
@@ -78,12 +78,14 @@
             sheds_load=node.policy.turns_away_when_short,
         )
         self.service = JobService(self.queues, self.jobs, processor, node.log)
-        self.server = server(node.settings.callers, node.platform.callers(self.service))
+        self.server = job_http_server(
+            node.settings.callers, node.platform.callers(self.service)
+        )
         self.rows = EntryRows(node.store, node.rng, node.log)
         node.mailer.handler = self.handle
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Start all parts."""
+        """Start all tasks of the entry in a nursery."""
         node = self.node
         settings = node.settings
         self.peers.learn(node.seeds(), from_settings=True)
@@ -103,19 +105,21 @@
         nursery.start_soon(self.rows.poll_entries, self.peers.learn)
         nursery.start_soon(serve_http, self.server)
         if settings.readiness is not None:
-            ready = server(settings.readiness, node.platform.readiness(self.is_ready))
+            ready = job_http_server(
+                settings.readiness, node.platform.readiness(self.is_ready)
+            )
             nursery.start_soon(serve_http, ready)
         if settings.reports is not None:
-            unused = server(settings.reports, node.platform.unused())
+            unused = job_http_server(settings.reports, node.platform.unused())
             nursery.start_soon(serve_http, unused)
 
     async def _greet_agents(self) -> None:
-        """Make this entry known to the agents that the store tells of."""
+        """Announce this entry to the agents listed in the store."""
         upstreams = UpstreamRows(self.node.store, self.node.rng, self.node.log)
         self.peers.greet_agents(list(await upstreams.read()))
 
     def handle(self, sender: LinkAddress, message: Message) -> None:
-        """Act on one message."""
+        """Handle one message from an agent or a peer entry."""
         match message:
             case AgentTurn():
                 self.links.handle_agent_turn(sender, message)
@@ -129,7 +133,7 @@
         self.jobs.handle_evacuations()
 
     def is_ready(self) -> bool:
-        """Return whether this entry wants callers."""
+        """Return whether this entry is ready to accept jobs."""
         return (
             not self.stopping
             and self.queues.table is not None
@@ -137,25 +141,25 @@
         )
 
     def settings_changed(self, settings: NodeSettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
         seeds = [link_address(seed) for seed in settings.seeds]
         self.peers.learn(seeds, from_settings=True)
 
     async def stop(self) -> None:
-        """Serve what was taken, and what still comes, then end."""
-        seconds = self.node.settings.stop_seconds - ANSWER_SECONDS
+        """Serve accepted and still arriving jobs, abandon the rest, then leave."""
+        seconds = self.node.settings.stop_seconds - ANSWER_RESERVE_SECONDS
         begun = trio.current_time()
         self.stopping = True
         self.jobs.ends_at = self.node.timers.now() + seconds
         self.server.close_after_next_responses()
         self.node.log.write("entry.stopping", jobs=len(self.jobs.jobs))
-        await trio.sleep(BALANCER_SECONDS)
+        await trio.sleep(BALANCER_REACTION_SECONDS)
         self.server.begin_stop()
-        # Not only for the jobs that are known: a request may just be coming in.
+        # Waiting for known jobs is not enough: a request may still be arriving.
         with trio.move_on_after(begun + seconds - trio.current_time()):
             await self.server.wait_stopped()
         self.jobs.abandon_all_jobs("this entry is stopping")
-        with trio.move_on_after(ANSWER_SECONDS / 2):
+        with trio.move_on_after(ANSWER_RESERVE_SECONDS / 2):
             await self.server.wait_stopped()
         self.peers.send_farewell()
         await self.rows.withdraw(self.node.address)
--- a/bergamotcourse/daemons/job_metrics.py
+++ b/bergamotcourse/daemons/job_metrics.py
@@ -1,8 +1,8 @@
-"""Counters and latency histograms of a job daemon, told from its events.
+"""Counters and latency histograms of a job daemon, derived from its log events.
 
-Events are counted in plain numbers; the metrics library is loaded only once somebody
-asks. At a start its import takes a seventh of the time, and 3 MB, of a process that
-callers wait for.
+Events are counted without the metrics library, which is imported on the first scrape:
+importing it at startup would take a seventh of the startup time, and 3 MB, while
+callers wait for the process.
 """
 
 from bisect import bisect_left
@@ -13,9 +13,9 @@
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 from bergamotcourse.transport.http_problem import plain_problem
 
-PATH = "/metrics"
+METRICS_PATH = "/metrics"
 
-BUCKETS = (
+BUCKET_BOUNDS_SECONDS = (
     0.005,
     0.01,
     0.025,
@@ -33,40 +33,42 @@
     5.0,
     10.0,
 )
-"""Seconds: tasks take 50 ms to several seconds, and objectives are 1.6 times that."""
+"""Tasks take 50 ms to several seconds, and latency objectives are 1.6 times that."""
 
-LATENCIES = {
+LATENCY_FIELDS = {
     "job.settled": ("job", "took_ms"),
     "run.start": ("start", "waited_ms"),
     "run.end": ("run", "ran_ms"),
 }
-"""By kind of event: the name of its histogram, and the field that it measures."""
+"""Stage of the histogram and log field with milliseconds, by kind of event."""
 
 
 @dataclass
 class Latencies:
-    """Measured seconds of one stage.
+    """Histogram of the latencies of one stage.
 
     Attributes:
-        counts: Values in each bucket, the last for those above all bounds.
-        total: Their sum.
+        counts: Observations in each bucket; the last is above all bounds.
+        total: Sum of the observations in seconds.
     """
 
-    counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKETS) + 1))
+    counts: list[int] = field(
+        default_factory=lambda: [0] * (len(BUCKET_BOUNDS_SECONDS) + 1)
+    )
     total: float = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Take one value."""
-        self.counts[bisect_left(BUCKETS, seconds)] += 1
+        """Add an observation."""
+        self.counts[bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.total += seconds
 
 
 class JobMetrics:
-    """Counts events by kind and outcome, and measures those that tell a time.
+    """Counts events by kind and outcome, and records latencies from their fields.
 
     Attributes:
-        events: Counts by kind and outcome.
-        latencies: Values by stage and outcome.
+        events: Number of events by kind and outcome.
+        latencies: Histograms by stage and outcome.
     """
 
     def __init__(self):
@@ -74,18 +76,18 @@
         self.latencies: dict[tuple[str, str], Latencies] = {}
 
     def sink(self, kind: str, fields: dict[str, Any]) -> None:
-        """Take one event."""
+        """Count one event, and record its latency if it has one."""
         outcome = str(fields.get("outcome") or fields.get("verdict") or "")
         self.events[kind, outcome] += 1
-        if kind in LATENCIES:
-            stage, field_name = LATENCIES[kind]
+        if kind in LATENCY_FIELDS:
+            stage, field_name = LATENCY_FIELDS[kind]
             latencies = self.latencies.setdefault((stage, outcome), Latencies())
             latencies.observe(fields[field_name] / 1000)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request for the metrics."""
-        if request.method != "GET" or request.target.split("?")[0] != PATH:
-            return plain_problem(404, f"only GET {PATH} is served")
-        from bergamotcourse.daemons.job_metrics_page import CONTENT_TYPE, render
+        """Handle a scrape of the metrics."""
+        if request.method != "GET" or request.target.split("?")[0] != METRICS_PATH:
+            return plain_problem(404, f"only GET {METRICS_PATH} is served")
+        from bergamotcourse.daemons.job_metrics_page import CONTENT_TYPE, render_metrics
 
-        return HttpResponse(200, [("content-type", CONTENT_TYPE)], render(self))
+        return HttpResponse(200, [("content-type", CONTENT_TYPE)], render_metrics(self))
--- a/bergamotcourse/daemons/job_metrics_page.py
+++ b/bergamotcourse/daemons/job_metrics_page.py
@@ -1,4 +1,4 @@
-"""The text of a job daemon's metrics, written by the metrics library."""
+"""Exports the metrics of a job daemon in the Prometheus text format."""
 
 from collections.abc import Iterable
 from itertools import accumulate
@@ -12,28 +12,28 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST as CONTENT_TYPE
 from prometheus_client.registry import Collector
 
-from bergamotcourse.daemons.job_metrics import BUCKETS, JobMetrics
+from bergamotcourse.daemons.job_metrics import BUCKET_BOUNDS_SECONDS, JobMetrics
 
-__all__ = ["CONTENT_TYPE", "render"]
+__all__ = ["CONTENT_TYPE", "render_metrics"]
 
-BOUNDS = [*map(str, BUCKETS), "+Inf"]
+BUCKET_LABELS = [*map(str, BUCKET_BOUNDS_SECONDS), "+Inf"]
 
 
 class JobCollector(Collector):
-    """Hands the counts of a daemon to the metrics library."""
+    """Exposes the counters and histograms of a daemon to the Prometheus client."""
 
     def __init__(self, metrics: JobMetrics):
         self.metrics = metrics
 
     def collect(self) -> Iterable[Metric]:
-        """Return the families of metrics."""
+        """Yield the metric families."""
         yield self._events()
         yield self._latencies()
 
     def _events(self) -> Metric:
         family = CounterMetricFamily(
             "bergamotcourse_events",
-            "Decisions and changed beliefs, by kind and outcome.",
+            "Decisions and state changes, by kind and outcome.",
             labels=["event", "outcome"],
         )
         for labels, count in self.metrics.events.items():
@@ -43,17 +43,19 @@
     def _latencies(self) -> Metric:
         family = HistogramMetricFamily(
             "bergamotcourse_seconds",
-            "Seconds of a job, of the wait for its start, of a run, by outcome.",
+            "Seconds that jobs, waits for a start, and runs took, by outcome.",
             labels=["stage", "outcome"],
         )
         for labels, latencies in self.metrics.latencies.items():
-            buckets = list(zip(BOUNDS, accumulate(latencies.counts), strict=True))
+            buckets = list(
+                zip(BUCKET_LABELS, accumulate(latencies.counts), strict=True)
+            )
             family.add_metric(labels, buckets, latencies.total)
         return family
 
 
-def render(metrics: JobMetrics) -> bytes:
-    """Return the text of the metrics."""
+def render_metrics(metrics: JobMetrics) -> bytes:
+    """Return the metrics in the Prometheus text format."""
     registry = CollectorRegistry()
     registry.register(JobCollector(metrics))
     return generate_latest(registry)
--- a/bergamotcourse/daemons/job_process.py
+++ b/bergamotcourse/daemons/job_process.py
@@ -1,4 +1,4 @@
-"""What the job daemons share: link, log, signals, settings that change."""
+"""Shared parts of the job daemons: link, log, metrics, signals and settings."""
 
 import os
 import random
@@ -15,7 +15,7 @@
 from bergamotcourse.daemons.job_metrics import JobMetrics
 from bergamotcourse.daemons.job_platform import Platform
 from bergamotcourse.daemons.json_log import JsonLog
-from bergamotcourse.daemons.process import ignore_stops_at_the_end, serve_http
+from bergamotcourse.daemons.process import ignore_sigterm_after_receiver, serve_http
 from bergamotcourse.errors import BergamotcourseError, Step, StepError
 from bergamotcourse.ids import LinkAddress
 from bergamotcourse.protocol.mailer import Mailer
@@ -25,16 +25,16 @@
 from bergamotcourse.transport.http_server import HttpServer, ServerLimits
 
 WITHOUT_VARIABLE = "BERGAMOTCOURSE_WITHOUT"
-"""Names mechanisms to switch off, with commas, to tell what each is worth."""
+"""Comma-separated mechanisms to switch off, for measuring the effect of each."""
 
-SETTINGS_SECONDS = 2.0
-"""Between looks at settings that change without a signal."""
+SETTINGS_POLL_SECONDS = 2.0
+"""Interval of reading the settings, which may change without a signal."""
 
 METRICS_PORT = 9464
-"""Where the metrics are served; the deployment tells it to those who read them."""
+"""Port of the metrics endpoint; the deployment configures scrapers with it."""
 
-LAST_MESSAGES_SECONDS = 0.2
-"""For the link to hand over what was posted last."""
+LINK_DRAIN_SECONDS = 0.2
+"""Wait for the link to send the last queued messages."""
 
 SERVER_LIMITS = ServerLimits(
     header_bytes=16384,
@@ -45,8 +45,8 @@
     write_seconds=5.0,
     connections=2000,
 )
-"""A job of the most tasks has a body below 20 kB; a caller that sends slower than this
-holds a connection for nothing."""
+"""The largest job has a body below 20 kB; the timeouts close the connections of callers
+that send too slowly."""
 
 
 def link_address(endpoint: Endpoint) -> LinkAddress:
@@ -54,11 +54,11 @@
     return LinkAddress(f"{SCHEME}{endpoint}")
 
 
-def policy_in_force() -> JobPolicy:
-    """Return the mechanisms that decide in this process.
+def policy_from_environment() -> JobPolicy:
+    """Return the policy, without the mechanisms that the environment switches off.
 
     Raises:
-        BergamotcourseError: The variable names one that there is not.
+        BergamotcourseError: The variable names an unknown mechanism.
     """
     names = os.environ.get(WITHOUT_VARIABLE, "").split(",")
     try:
@@ -72,14 +72,14 @@
     """The parts that every job daemon has.
 
     Attributes:
-        policy: The mechanisms that decide.
-        boot: Rises with each process of this machine: its clock counts on over
-            restarts of processes.
+        policy: The scheduling mechanisms in use.
+        boot: Incarnation of this process. It increases with each process on this
+            machine, since the boot clock keeps counting across process restarts.
     """
 
     def __init__(self, platform: Platform):
         self.platform = platform
-        self.policy = policy_in_force()
+        self.policy = policy_from_environment()
         self.settings = platform.settings()
         self.rng = random.Random()
         self.timers = Timers(self.rng)
@@ -95,7 +95,7 @@
         self.store = platform.store(self.settings, self.log)
 
     def steady_clock_ms(self) -> int:
-        """Return the machine's steady clock in milliseconds, suspensions included."""
+        """Return milliseconds since the machine booted, including suspended time."""
         return int(time.clock_gettime(time.CLOCK_BOOTTIME) * 1000)
 
     def _sink(self, kind: str, fields: dict[str, Any]) -> None:
@@ -103,17 +103,17 @@
         self.json_log.sink(kind, fields)
 
     def seeds(self) -> list[LinkAddress]:
-        """Return the links of entries that the settings name."""
+        """Return the link addresses of the seed entries in the settings."""
         return [link_address(seed) for seed in self.settings.seeds]
 
-    async def follow_settings(self, daemon: "Daemon") -> None:
-        """Take settings that changed without a signal, until cancelled."""
+    async def poll_settings(self, daemon: "Daemon") -> None:
+        """Reload the settings periodically until cancelled."""
         while True:
-            await trio.sleep(SETTINGS_SECONDS)
+            await trio.sleep(SETTINGS_POLL_SECONDS)
             self.reload(daemon, "changed")
 
     def reload(self, daemon: "Daemon", why: str) -> None:
-        """Read the settings anew; faulty ones leave the former in force."""
+        """Reload the settings; if they are invalid, the current ones stay in use."""
         try:
             settings = self.platform.settings()
         except BergamotcourseError as error:
@@ -131,32 +131,32 @@
     node: Node
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Start all parts."""
+        """Start all tasks of the daemon in a nursery."""
 
     async def stop(self) -> None:
-        """Stop gracefully within the time that the settings give."""
+        """Stop gracefully within the stop time of the settings."""
 
     def settings_changed(self, settings: NodeSettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
 
 
-def server(where: Endpoint, handler: Handler) -> HttpServer:
-    """Return a server on an address."""
+def job_http_server(where: Endpoint, handler: Handler) -> HttpServer:
+    """Return an HTTP server for an endpoint, with the limits of job daemons."""
     return HttpServer(where.host, where.port, handler, SERVER_LIMITS)
 
 
-def run_process(kind, platform: Platform) -> int:
-    """Run a daemon until it is stopped, and return the process's exit code."""
+def run_process(daemon_class, platform: Platform) -> int:
+    """Run a daemon until it stops, and return the exit code of the process."""
     try:
         node = Node(platform)
     except BergamotcourseError as error:
         print(error, file=sys.stderr)
         return 1
-    trio.run(_run, kind, node, strict_exception_groups=True)
+    trio.run(_run, daemon_class, node, strict_exception_groups=True)
     return 0
 
 
-async def _run(kind, node: Node) -> None:
+async def _run(daemon_class, node: Node) -> None:
     async with trio.open_nursery() as logging:
         logging.start_soon(node.json_log.run)
         node.log.write(
@@ -171,10 +171,10 @@
             await node.mailer.link.wait_open()
             nursery.start_soon(node.timers.run)
             where = Endpoint(node.settings.link.host, METRICS_PORT)
-            nursery.start_soon(serve_http, server(where, node.metrics.handle))
-            daemon = kind(node)
+            nursery.start_soon(serve_http, job_http_server(where, node.metrics.handle))
+            daemon = daemon_class(node)
             await daemon.run(nursery)
-            nursery.start_soon(node.follow_settings, daemon)
+            nursery.start_soon(node.poll_settings, daemon)
             await _watch_signals(daemon, nursery)
         await node.store.aclose()
         node.log.write("process.stop")
@@ -185,7 +185,7 @@
     node = daemon.node
     stopping = False
     signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    ignore_stops_at_the_end()
+    ignore_sigterm_after_receiver()
     with trio.open_signal_receiver(*signals) as received:
         async for number in received:
             node.log.write("process.signal", signal=signal.Signals(number).name)
@@ -198,5 +198,5 @@
 
 async def _stop(daemon: Daemon, scope: trio.CancelScope) -> None:
     await daemon.stop()
-    await daemon.node.mailer.drain(LAST_MESSAGES_SECONDS)
+    await daemon.node.mailer.drain(LINK_DRAIN_SECONDS)
     scope.cancel()
--- a/bergamotcourse/daemons/json_log.py
+++ b/bergamotcourse/daemons/json_log.py
@@ -1,7 +1,8 @@
-"""Writes events as JSON lines to standard output: bounded, and never blocking.
+"""Writes events as JSON lines to standard output, without blocking.
 
-Each kind of event has an allowance; what goes beyond it is counted and told in one line
-each second. What the reader does not take is dropped and counted as well.
+The rate of each kind of event is limited. Lines beyond the limit are counted and
+reported in one line per second. If the reader is too slow, lines are dropped and
+counted as well.
 """
 
 import os
@@ -14,25 +15,27 @@
 import trio
 
 LINES_PER_SECOND = 250
-"""Of one kind; at 77 jobs a second over three entries, placements, the most frequent,
-come to about 110 a second at an entry, and to more than this in bursts."""
+"""Limit for each kind of event. At 77 jobs a second over three entries, placements are
+the most frequent: about 110 a second at an entry, with bursts above this limit."""
 
-BUFFER_LINES = 20_000
-"""Lines that wait for a slow reader, about 4 MB."""
+MAX_BUFFERED_LINES = 20_000
+"""Limit of lines buffered for a slow reader, about 4 MB."""
 
 FLUSH_SECONDS = 0.1
-"""Between writes: one call then serves all lines of this time."""
+"""Interval between writes; one system call writes all lines of an interval."""
 
 STDOUT = 1
 
 
 class JsonLog:
-    """A sink for events.
+    """A rate-limited log of events as JSON lines.
 
     Attributes:
-        name: Of the process, in each line.
-        omitted: Lines beyond the allowance, by kind, since last told.
-        dropped: Lines that the reader did not take.
+        name: Name of the process, included in each line.
+        window_lines: Events of each kind in the current second.
+        omitted: Lines beyond the rate limit, by kind, since the last report.
+        dropped: Lines dropped because the buffer was full, since the last report.
+        unwritten: Encoded bytes that the reader has not accepted yet.
     """
 
     def __init__(
@@ -43,19 +46,19 @@
         self.fd = fd
         self.encoder = msgspec.json.Encoder(enc_hook=str)
         self.lines: list[bytes] = []
-        self.rest = b""
-        self.written: Counter[str] = Counter()
+        self.unwritten = b""
+        self.window_lines: Counter[str] = Counter()
         self.omitted: Counter[str] = Counter()
         self.dropped = 0
         self.window = 0
         self.has_lines = trio.Event()
 
     def sink(self, kind: str, fields: dict[str, Any]) -> None:
-        """Take one event."""
+        """Append one event, or count it as omitted or dropped."""
         now = self.clock()
-        self._turn_window(int(now))
-        self.written[kind] += 1
-        if self.written[kind] > LINES_PER_SECOND:
+        self._update_window(int(now))
+        self.window_lines[kind] += 1
+        if self.window_lines[kind] > LINES_PER_SECOND:
             self.omitted[kind] += 1
             return
         self._append(
@@ -63,7 +66,7 @@
         )
 
     async def run(self) -> None:
-        """Write lines until cancelled, and what is left then."""
+        """Write buffered lines until cancelled, and once more at the end."""
         os.set_blocking(self.fd, False)
         try:
             while True:
@@ -71,15 +74,15 @@
                 await trio.sleep(FLUSH_SECONDS)
                 self.has_lines = trio.Event()
                 self.flush()
-                if self.rest or self.omitted:
+                if self.unwritten or self.omitted:
                     self.has_lines.set()
         finally:
             self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        self._turn_window(int(self.clock()))
-        data = self.rest + b"".join(self.lines)
+        """Write as much as the reader accepts without blocking."""
+        self._update_window(int(self.clock()))
+        data = self.unwritten + b"".join(self.lines)
         self.lines.clear()
         while data:
             try:
@@ -87,22 +90,25 @@
             except BlockingIOError:
                 break
             except OSError:
-                # Nobody can be told: the reader is gone.
+                # The reader has closed the pipe, so the error cannot be reported.
                 data = b""
-        self.rest = data
+        self.unwritten = data
 
     def _append(self, line: dict[str, Any]) -> None:
-        if len(self.lines) >= BUFFER_LINES or len(self.rest) > BUFFER_LINES * 200:
+        if (
+            len(self.lines) >= MAX_BUFFERED_LINES
+            or len(self.unwritten) > MAX_BUFFERED_LINES * 200
+        ):
             self.dropped += 1
             return
         self.lines.append(self.encoder.encode(line) + b"\n")
         self.has_lines.set()
 
-    def _turn_window(self, second: int) -> None:
+    def _update_window(self, second: int) -> None:
         if second == self.window:
             return
         self.window = second
-        self.written.clear()
+        self.window_lines.clear()
         if self.omitted or self.dropped:
             line = {"event": "log.omitted", "node": self.name, "kinds": self.omitted}
             omitted = {**line, "kinds": dict(self.omitted), "dropped": self.dropped}
--- a/bergamotcourse/daemons/log_file.py
+++ b/bergamotcourse/daemons/log_file.py
@@ -1,4 +1,4 @@
-"""Where eliot's log lines go."""
+"""Sets the destination of eliot's log."""
 
 import sys
 
@@ -6,6 +6,6 @@
 
 
 def open_log(path: str) -> None:
-    """Send eliot's log lines to a file, or to standard error for ``-``."""
+    """Append eliot's log lines to a file, or write them to standard error for ``-``."""
     target = sys.stderr if path == "-" else open(path, "a", buffering=1)  # noqa: SIM115
     eliot.to_file(target)
--- a/bergamotcourse/daemons/metric_samples.py
+++ b/bergamotcourse/daemons/metric_samples.py
@@ -1,4 +1,4 @@
-"""What entries and agents tell to statsd."""
+"""Collects the metrics of entries and agents for statsd."""
 
 from bergamotcourse.coordination.agent import Agent
 from bergamotcourse.coordination.entry import Entry
@@ -9,7 +9,7 @@
     link_counters,
 )
 from bergamotcourse.coordination.timers import Timers
-from bergamotcourse.daemons.metrics import Sample, Timings, metric_part
+from bergamotcourse.daemons.metrics import Sample, Timings, metric_segment
 from bergamotcourse.protocol.messages import TaskResult
 from bergamotcourse.state.submission import Submission
 from bergamotcourse.transport.http import Handler, HttpRequest, HttpResponse
@@ -29,7 +29,7 @@
     for health, count in agents_by_health(status).items():
         gauges[f"agents.{health}"] = count
     for queue in status.queues:
-        service = metric_part(queue.service)
+        service = metric_segment(queue.service)
         gauges[f"queue.{service}.requests"] = queue.requests
         gauges[f"queue.{service}.job_tasks"] = queue.job_tasks
     return Sample(status.counters, gauges)
@@ -48,37 +48,37 @@
         "entries": len(agent.attachments),
     }
     for service in agent.upstreams.services():
-        part = metric_part(service)
+        part = metric_segment(service)
         gauges[f"slots.{part}"] = agent.upstreams.slots(service)
         gauges[f"running.{part}"] = agent.runner.running.get(service, 0)
         gauges[f"waiting.{part}"] = agent.runner.waiting_count(service)
     return Sample(counters | link_counters(agent.mailer), gauges)
 
 
-def time_entry(entry: Entry, timings: Timings) -> None:
-    """Note the times of each task that ran, beside what is done with it."""
+def record_entry_task_times(entry: Entry, timings: Timings) -> None:
+    """Wrap the dispatcher's outcome callback to record run and wait times of tasks."""
     inner = entry.dispatcher.on_outcome
 
-    def note(submission: Submission, result: TaskResult) -> None:
-        _add_task(timings, result)
+    def record_and_forward(submission: Submission, result: TaskResult) -> None:
+        _record_task_times(timings, result)
         inner(submission, result)
 
-    entry.dispatcher.on_outcome = note
+    entry.dispatcher.on_outcome = record_and_forward
 
 
-def time_agent(agent: Agent, timings: Timings) -> None:
-    """Note the times of each task that ran, beside what is done with it."""
+def record_agent_task_times(agent: Agent, timings: Timings) -> None:
+    """Wrap the agent's result callback to record run and wait times of tasks."""
     inner = agent.on_finished
 
-    def note(task: AdmittedTask, result: TaskResult) -> None:
-        _add_task(timings, result)
+    def record_and_forward(task: AdmittedTask, result: TaskResult) -> None:
+        _record_task_times(timings, result)
         inner(task, result)
 
-    agent.on_finished = note
+    agent.on_finished = record_and_forward
 
 
-def timed(handler: Handler, timers: Timers, timings: Timings) -> Handler:
-    """Return a handler that notes how long its answers took."""
+def with_response_times(handler: Handler, timers: Timers, timings: Timings) -> Handler:
+    """Return a handler that records the response times of another."""
 
     async def handle(request: HttpRequest) -> HttpResponse:
         began = timers.now()
@@ -89,7 +89,7 @@
     return handle
 
 
-def _add_task(timings: Timings, result: TaskResult) -> None:
+def _record_task_times(timings: Timings, result: TaskResult) -> None:
     if result.run_ms:
         timings.add("task.run", result.run_ms)
         timings.add("task.wait", result.wait_ms)
--- a/bergamotcourse/daemons/openapi.py
+++ b/bergamotcourse/daemons/openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI description of the administration API, made from its route table."""
+"""The OpenAPI document of the administration API, generated from its routes."""
 
 import re
 from http import HTTPStatus
@@ -21,7 +21,7 @@
 
 
 def describe_api() -> Document:
-    """Return the OpenAPI document, in plain data."""
+    """Return the OpenAPI document as built-in types."""
     types = [kind for route in ROUTES for kind in (route.body, route.answer) if kind]
     schemas, components = msgspec.json.schema_components(
         [*types, AdminProblem], ref_template=REF_TEMPLATE
--- a/bergamotcourse/daemons/process.py
+++ b/bergamotcourse/daemons/process.py
@@ -1,4 +1,4 @@
-"""What every daemon does: listeners, signals, and a graceful stop."""
+"""Shared by all daemons: HTTP listeners, signals and the graceful stop."""
 
 import signal
 from collections.abc import Awaitable, Callable
@@ -8,7 +8,7 @@
 from bergamotcourse.errors import BergamotcourseError, Step, StepError
 from bergamotcourse.transport.http_server import HttpServer
 
-INTERRUPTS_TO_END = 2
+INTERRUPTS_TO_ABORT = 2
 POLL_SECONDS = 0.05
 
 
@@ -16,7 +16,7 @@
     """Serve HTTP until cancelled or stopped.
 
     Raises:
-        BergamotcourseError: The address cannot be listened on.
+        BergamotcourseError: Listening on the address failed.
     """
     address = f"{server.host}:{server.port}"
     try:
@@ -27,7 +27,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], timeout: float) -> bool:
-    """Wait for a condition, for so many seconds at most; return it."""
+    """Wait up to ``timeout`` seconds for a condition; return whether it holds."""
     with trio.move_on_after(timeout):
         while not condition():
             await trio.sleep(POLL_SECONDS)
@@ -37,30 +37,30 @@
 async def watch_signals(
     stop: Callable[[], Awaitable[None]], scope: trio.CancelScope
 ) -> None:
-    """Stop gracefully on SIGTERM or SIGINT; end now on a second SIGINT.
+    """Stop gracefully on SIGTERM or SIGINT; abort on a second SIGINT.
 
     Raises:
-        KeyboardInterrupt: A second SIGINT came.
+        KeyboardInterrupt: A second SIGINT was received.
     """
     interrupts = 0
     stopping = False
-    ignore_stops_at_the_end()
+    ignore_sigterm_after_receiver()
     async with trio.open_nursery() as nursery:
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for number in signals:
                 interrupts += number == signal.SIGINT
-                if interrupts >= INTERRUPTS_TO_END:
+                if interrupts >= INTERRUPTS_TO_ABORT:
                     raise KeyboardInterrupt
                 if not stopping:
                     stopping = True
                     nursery.start_soon(_stop, stop, scope)
 
 
-def ignore_stops_at_the_end() -> None:
-    """Let SIGTERM do nothing once nobody receives it any more.
+def ignore_sigterm_after_receiver() -> None:
+    """Ignore SIGTERM once the signal receiver has closed.
 
-    A receiver of signals gives back what it found; the default would kill a process
-    that has stopped gracefully and is about to end.
+    A signal receiver restores the previous handlers when it closes; the default
+    handler would kill a process that has stopped gracefully and is about to exit.
     """
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
--- a/bergamotcourse/daemons/request_fields.py
+++ b/bergamotcourse/daemons/request_fields.py
@@ -1,4 +1,4 @@
-"""What callers say in the header fields of their requests."""
+"""Reads the header fields of callers' requests."""
 
 import math
 
@@ -13,7 +13,7 @@
 KEY_HEADER = "idempotency-key"
 IDEMPOTENT_HEADER = "idempotent"
 TIMEOUT_HEADER = "request-timeout"
-NOT_FORWARDED = {
+NOT_FORWARDED_HEADERS = {
     "authorization",
     KEY_HEADER,
     IDEMPOTENT_HEADER,
@@ -24,7 +24,7 @@
 
 
 def is_idempotent(request: HttpRequest, service: Service) -> bool:
-    """Return whether a request may be tried again, by header or by method."""
+    """Return whether a request may be retried, by its header or else its method."""
     match request.header(IDEMPOTENT_HEADER).strip().lower():
         case "?1" | "true":
             return True
@@ -35,7 +35,7 @@
 
 
 def check_key(key: str) -> str:
-    """Return what is wrong with an idempotency key, if anything."""
+    """Return why an idempotency key is invalid, or ``""`` if it is valid."""
     if len(key) > MAX_KEY_LENGTH or not key.isascii() or not key.isprintable():
         return f"the key is over {MAX_KEY_LENGTH} characters or not printable ASCII"
     if "/" in key or "?" in key or "#" in key:
@@ -44,7 +44,7 @@
 
 
 def parse_seconds(text: str) -> float | None:
-    """Return a number of seconds from 0, or ``None`` for anything else."""
+    """Return a finite, non-negative number of seconds, or ``None`` if it is invalid."""
     try:
         seconds = float(text)
     except ValueError:
@@ -53,7 +53,7 @@
 
 
 def tasks_digest(service: str, tasks: list[TaskRequest]) -> bytes:
-    """Return the hash of what is asked; it tells one request from another."""
+    """Return a hash of the tasks, to detect a key reused for another request."""
     hasher = xxhash.xxh3_128(service.encode())
     for task in tasks:
         hasher.update(msgspec.msgpack.encode([task.method, task.target, task.body]))
--- a/bergamotcourse/daemons/responses.py
+++ b/bergamotcourse/daemons/responses.py
@@ -1,4 +1,4 @@
-"""The HTTP responses that tell a caller what became of a submission."""
+"""HTTP responses with the result of a submission."""
 
 import random
 from http import HTTPStatus
@@ -16,8 +16,8 @@
 from bergamotcourse.transport.http import HttpResponse
 
 OUTCOME_HEADER = "bergamotcourse-outcome"
-RETRY_SPREAD = 0.5
-"""Retry-After is spread by this share, so that callers do not come back in step."""
+RETRY_JITTER_SHARE = 0.5
+"""Share by which Retry-After is randomly extended, so that retries spread out."""
 
 PROBLEM_BASE = "urn:bergamotcourse:problem:"
 
@@ -37,7 +37,7 @@
 
 
 def job_response(rng: random.Random, answer: SubmissionAnswer) -> HttpResponse:
-    """Return the response to a job: its whole answer, or each task's outcome."""
+    """Return the response to a job: all results, or the outcome of each task."""
     match answer:
         case Refused():
             return refused_response(rng, answer)
@@ -53,8 +53,8 @@
 
 
 def refused_response(rng: random.Random, refused: Refused) -> HttpResponse:
-    """Return the response to a submission that was refused as a whole."""
-    retry_after = refused.retry_after * _spread(rng)
+    """Return the response to a submission that was refused."""
+    retry_after = refused.retry_after * _retry_jitter(rng)
     if refused.invalid:
         return problem(HTTPStatus.BAD_REQUEST, refused.detail, refused.outcome)
     if refused.conflict:
@@ -74,7 +74,7 @@
     retry_after: float | None = None,
     tasks: list[TaskProblem] | None = None,
 ) -> HttpResponse:
-    """Return problem details as a response."""
+    """Return a problem details response."""
     name = outcome.value if outcome else status.name.lower()
     response = problem_response(
         Problem(
@@ -100,11 +100,11 @@
     ]
     not_run = outcome is Outcome.NOT_RUN
     status = HTTPStatus.SERVICE_UNAVAILABLE if not_run else HTTPStatus.BAD_GATEWAY
-    retry_after = _spread(rng) if not_run else None
+    retry_after = _retry_jitter(rng) if not_run else None
     counts = {one: sum(1 for r in results if r.outcome is one) for one in Outcome}
     detail = ", ".join(f"{n} {one.value}" for one, n in counts.items() if n)
     return problem(status, f"tasks: {detail}", outcome, retry_after, tasks)
 
 
-def _spread(rng: random.Random) -> float:
-    return 1 + RETRY_SPREAD * rng.random()
+def _retry_jitter(rng: random.Random) -> float:
+    return 1 + RETRY_JITTER_SHARE * rng.random()
--- a/bergamotcourse/daemons/session_api.py
+++ b/bergamotcourse/daemons/session_api.py
@@ -1,11 +1,11 @@
-"""Session requests: one request, passed through to its service."""
+"""The session API: forwards a single request to its service."""
 
 from http import HTTPStatus
 
 from bergamotcourse.daemons.caller import Caller
 from bergamotcourse.daemons.request_fields import (
     KEY_HEADER,
-    NOT_FORWARDED,
+    NOT_FORWARDED_HEADERS,
     TIMEOUT_HEADER,
     is_idempotent,
     parse_seconds,
@@ -18,19 +18,21 @@
 
 
 async def answer_session(caller: Caller, request: HttpRequest) -> HttpResponse:
-    """Answer a request to ``/s/SERVICE/PATH``."""
+    """Handle a request to ``/s/SERVICE/PATH``."""
     name, _, rest = request.target.removeprefix(SESSION_PREFIX).partition("/")
     service = caller.service(name)
-    refusal = caller.refusal(name, service, request)
+    refusal = caller.refusal_response(name, service, request)
     if refusal is not None:
         return refusal
     timeout = _timeout(request, service.timeout_seconds)
     if timeout is None:
         detail = f"{TIMEOUT_HEADER} is not a number of seconds above 0"
         return problem(HTTPStatus.BAD_REQUEST, detail)
-    headers = [(n, v) for n, v in request.headers if n not in NOT_FORWARDED]
+    headers = [(n, v) for n, v in request.headers if n not in NOT_FORWARDED_HEADERS]
     task = TaskRequest(request.method, f"/{rest}", headers, request.body)
-    submission = caller.submission(SubmissionKind.SESSION, service, [task], timeout)
+    submission = caller.build_submission(
+        SubmissionKind.SESSION, service, [task], timeout
+    )
     idempotent = is_idempotent(request, service)
     key = request.header(KEY_HEADER)
     if key:
@@ -42,7 +44,7 @@
 
 
 def _timeout(request: HttpRequest, longest: float) -> float | None:
-    """Return the seconds that a request may take, or ``None`` for a bad header."""
+    """Return the timeout of a request in seconds, or ``None`` if it is invalid."""
     asked = request.header(TIMEOUT_HEADER)
     if not asked:
         return longest
--- a/bergamotcourse/errors.py
+++ b/bergamotcourse/errors.py
@@ -1,11 +1,11 @@
-"""Typed errors; each carries the step and the peer at which it arose."""
+"""Typed errors with the processing step and the peer at which they occurred."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Step(Enum):
-    """The step of a piece of work at which an error arose."""
+    """The processing step at which an error occurred."""
 
     ACCEPT = "accept"
     CLAIM = "claim"
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True)
 class StepError:
-    """An error as a value, to be carried by ``expression.Result``.
+    """An error as a value, to be returned in an ``expression.Result``.
 
     Attributes:
-        step: The step at which the error arose.
-        peer: The address or name of the other side, or ``""`` for none.
-        detail: One line for a person.
+        step: The step at which the error occurred.
+        peer: Address or name of the peer, or ``""`` if there is none.
+        detail: Human-readable description in one line.
     """
 
     step: Step
@@ -40,7 +40,7 @@
 
 
 class BergamotcourseError(Exception):
-    """Base of the exceptions that end in one clean line at the command line."""
+    """Base of the exceptions that the command line reports in one line."""
 
     def __init__(self, error: StepError):
         super().__init__(str(error))
--- a/bergamotcourse/ids.py
+++ b/bergamotcourse/ids.py
@@ -1,4 +1,4 @@
-"""Names of things that cross process boundaries."""
+"""Identifier types shared between processes."""
 
 from typing import NewType
 
@@ -15,30 +15,31 @@
 RegionName = NewType("RegionName", str)
 
 Incarnation = NewType("Incarnation", int)
-"""Orders the lives of an upstream that starts again under its id; 0 if not told."""
+"""Increases with each restart of an upstream under the same id; 0 if not reported."""
 
 LinkAddress = NewType("LinkAddress", str)
-"""Where a process receives messages of other processes, ``tcp://IP:PORT``."""
+"""Address at which a process receives messages, such as ``tcp://IP:PORT``."""
 
 SubmissionId = NewType("SubmissionId", bytes)
 """Sixteen bytes: the hash of a team and its idempotency key."""
 
 RangeId = NewType("RangeId", int)
-"""One of the fixed number of parts of the key space, from 0."""
+"""Index of a range of the key space, from 0; the number of ranges is fixed."""
 
 Epoch = NewType("Epoch", int)
-"""Rises by one each time a range changes its owner."""
+"""Increases by one each time a range changes its owner."""
 
 Attempt = NewType("Attempt", int)
-"""Rises by one each time a submission is granted anew after proof of not run."""
+"""Increases by one each time a submission is granted again after it provably did not
+run."""
 
 ConfigVersion = NewType("ConfigVersion", int)
-"""Version of the accepted configuration; only rises."""
+"""Version of the accepted configuration; it only increases."""
 
 Token = NewType("Token", int)
-"""Issued by an agent; a start must carry a recent one."""
+"""Token issued by an agent; a start must carry a recent one."""
 
 
 def submission_id(team: TeamId, key: str) -> SubmissionId:
-    """Return the identity of the submission that a team names by a key."""
+    """Return the identity of the submission of a team under an idempotency key."""
     return SubmissionId(xxhash.xxh3_128_digest(f"{team}\0{key}".encode()))
--- a/bergamotcourse/tests/daemons/test_admin_api.py
+++ b/bergamotcourse/tests/daemons/test_admin_api.py
@@ -9,7 +9,7 @@
 
 import bergamotcourse
 from bergamotcourse.daemons.admin_api import AdminApi
-from bergamotcourse.daemons.admin_request import error_answer
+from bergamotcourse.daemons.admin_request import error_response
 from bergamotcourse.daemons.admin_routes import ROUTES
 from bergamotcourse.daemons.openapi import describe_api, encode_api
 from bergamotcourse.standins.platform_store import failed
@@ -45,8 +45,8 @@
     return replace(default_manifest("getxo"), operators=operators)
 
 
-class Desk:
-    """An administration API on a virtual fleet."""
+class AdminClient:
+    """Calls the administration API of an entry in a virtual fleet."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -60,20 +60,20 @@
         return response.status, json.loads(response.body)
 
 
-def with_desk(check, shape=None):
+def run_with_client(check, shape=None):
     async def main():
-        async with desk_of(shape or FleetShape(entries=1, agents=3)) as desk:
-            await check(desk)
+        async with open_client(shape or FleetShape(entries=1, agents=3)) as client:
+            await check(client)
 
     run_virtual(main, 1)
 
 
 @asynccontextmanager
-async def desk_of(shape):
+async def open_client(shape):
     async with trio.open_nursery() as nursery:
         fleet = VirtualFleet(nursery, 1, shape)
         await fleet.start(operators_manifest())
-        yield Desk(fleet)
+        yield AdminClient(fleet)
         nursery.cancel_scope.cancel()
 
 
@@ -81,74 +81,76 @@
     @pytest.mark.parametrize(
         ("token", "status"), [("", 401), ("no one", 401), ("viewer", 200)]
     )
-    def test_only_who_the_manifest_names_may_read(self, token, status):
-        async def check(desk):
-            assert (await desk.call("GET", "/v1/status", token))[0] == status
+    def test_only_known_tokens_may_read(self, token, status):
+        async def check(client):
+            assert (await client.call("GET", "/v1/status", token))[0] == status
 
-        with_desk(check)
+        run_with_client(check)
 
     @pytest.mark.parametrize("route", ROUTES, ids=lambda r: f"{r.method} {r.path}")
-    def test_each_route_wants_its_role(self, route):
+    def test_each_route_enforces_its_role(self, route):
         ranks = list(Role)
 
-        async def check(desk):
+        async def check(client):
             path = route.path.format(kind="worker", name="x", team="getxo")
             for role in Role:
-                status, _ = await desk.call(route.method, path, role.value, {})
+                status, _ = await client.call(route.method, path, role.value, {})
                 allowed = ranks.index(role) >= ranks.index(route.role)
                 assert (status != 403) == allowed, (role, status)
-            status, _ = await desk.call(route.method, path, "getxo")
+            status, _ = await client.call(route.method, path, "getxo")
             assert (status != 403) == route.teams
 
-        with_desk(check)
+        run_with_client(check)
 
-    def test_a_team_reads_its_own_work_only(self):
-        async def check(desk):
-            status, usage = await desk.call("GET", "/v1/teams/getxo/usage", "getxo")
+    def test_team_cannot_read_usage_of_other_team(self):
+        async def check(client):
+            status, usage = await client.call("GET", "/v1/teams/getxo/usage", "getxo")
             assert (status, usage["team"], usage["in_flight"]) == (200, "getxo", 0)
             path = "/v1/teams/barakaldo/usage"
-            assert (await desk.call("GET", path, "getxo"))[0] == 403
+            assert (await client.call("GET", path, "getxo"))[0] == 403
 
-        with_desk(check)
+        run_with_client(check)
 
-    def test_a_role_that_is_taken_away_ends_at_once(self):
-        async def check(desk):
+    def test_removed_operator_loses_access_at_once(self):
+        async def check(client):
             body = {"manifest": TEXT, "reviewed_version": 1, "reason": "why"}
-            assert (await desk.call("POST", "/v1/manifest/apply", "admin", body))[
+            assert (await client.call("POST", "/v1/manifest/apply", "admin", body))[
                 0
             ] == 200
-            assert (await desk.call("GET", "/v1/status", "viewer"))[0] == 401
+            assert (await client.call("GET", "/v1/status", "viewer"))[0] == 401
 
-        with_desk(check)
+        run_with_client(check)
 
 
 class TestManifest:
-    def test_the_one_in_force_hides_credentials(self):
-        async def check(desk):
-            status, answer = await desk.call("GET", "/v1/manifest", "viewer")
+    def test_manifest_in_force_masks_credentials(self):
+        async def check(client):
+            status, answer = await client.call("GET", "/v1/manifest", "viewer")
             assert (status, answer["version"]) == (200, 1)
             text = json.dumps(answer["manifest"])
             assert digest("admin") not in text
             assert f"{digest('admin')[:8]}..." in text
 
-        with_desk(check)
+        run_with_client(check)
 
-    def test_validate_names_all_issues(self):
-        async def check(desk):
+    def test_validate_reports_issues(self):
+        async def check(client):
             path = "/v1/manifest/validate"
-            status, _ = await desk.call("POST", path, "viewer", {"manifest": TEXT})
+            status, _ = await client.call("POST", path, "viewer", {"manifest": TEXT})
             assert status == 200
             body = {"manifest": "teems: []\n"}
-            status, problem = await desk.call("POST", path, "viewer", body)
+            status, problem = await client.call("POST", path, "viewer", body)
             assert status == 422
             assert "did you mean 'teams'" in json.dumps(problem["issues"])
 
-        with_desk(check)
+        run_with_client(check)
 
-    def test_a_change_is_reviewed_accepted_and_audited(self):
-        async def check(desk):
+    def test_change_is_compared_applied_audited_and_rolled_back(self):
+        async def check(client):
             path = "/v1/manifest/diff"
-            status, found = await desk.call("POST", path, "viewer", {"manifest": TEXT})
+            status, found = await client.call(
+                "POST", path, "viewer", {"manifest": TEXT}
+            )
             assert status == 200
             assert digest("getxo") not in json.dumps(found)
             body = {
@@ -158,65 +160,69 @@
             }
             path = "/v1/manifest/apply"
             dry = {**body, "dry_run": True}
-            status, answer = await desk.call("POST", path, "admin", dry)
+            status, answer = await client.call("POST", path, "admin", dry)
             assert (status, answer["result"]) == (200, "dry_run")
-            status, answer = await desk.call("POST", path, "admin", body)
+            status, answer = await client.call("POST", path, "admin", body)
             assert (status, answer["result"], answer["version"]) == (200, "applied", 2)
-            assert desk.entry.config.version == 2
-            assert (await desk.call("POST", path, "admin", body))[1][
+            assert client.entry.config.version == 2
+            assert (await client.call("POST", path, "admin", body))[1][
                 "result"
             ] == "unchanged"
             other = {**body, "manifest": TEXT.replace("next", "other")}
-            status, problem = await desk.call("POST", path, "admin", other)
+            status, problem = await client.call("POST", path, "admin", other)
             assert (status, problem["content"]["who"]) == (409, "admin")
-            status, trail = await desk.call("GET", "/v1/audit?first=2&who=admin")
+            status, trail = await client.call("GET", "/v1/audit?first=2&who=admin")
             assert (status, [one["version"] for one in trail]) == (200, [2])
             assert digest("getxo") not in json.dumps(trail)
             back = {"version": 1, "reason": "back"}
-            status, answer = await desk.call("POST", "/v1/manifest/rollback", body=back)
-            assert status == 200 and desk.entry.config.manifest == canonical(
+            status, answer = await client.call(
+                "POST", "/v1/manifest/rollback", body=back
+            )
+            assert status == 200 and client.entry.config.manifest == canonical(
                 operators_manifest()
             )
-            status, report = await desk.call("GET", "/v1/audit/verify", "viewer")
+            status, report = await client.call("GET", "/v1/audit/verify", "viewer")
             assert (status, report["whole"], report["version"]) == (200, True, 3)
 
-        with_desk(check)
+        run_with_client(check)
 
-    def test_a_platform_that_is_down_is_told(self):
-        async def check(desk):
-            desk.fleet.platform.faults.down = True
+    def test_unavailable_platform_returns_503(self):
+        async def check(client):
+            client.fleet.platform.faults.down = True
             body = {"manifest": TEXT, "reviewed_version": 1, "reason": "why"}
-            status, problem = await desk.call("POST", "/v1/manifest/apply", body=body)
+            status, problem = await client.call("POST", "/v1/manifest/apply", body=body)
             assert (status, problem["step"]) == (503, "store")
 
-        with_desk(check)
+        run_with_client(check)
 
-    def test_a_lost_answer_is_told_as_such(self):
-        response = error_answer(failed("answer lost", None))
+    def test_lost_store_answer_reports_possible_acceptance(self):
+        response = error_response(failed("answer lost", None))
         assert response.status == 504
         assert b"may have been accepted" in response.body
 
     @pytest.mark.parametrize(
         "body", [{}, {"manifest": 3}, {"manifest": TEXT, "reviewed_version": 1, "x": 1}]
     )
-    def test_a_malformed_body_is_refused(self, body):
-        async def check(desk):
-            assert (await desk.call("POST", "/v1/manifest/apply", body=body))[0] == 400
+    def test_malformed_body_returns_400(self, body):
+        async def check(client):
+            assert (await client.call("POST", "/v1/manifest/apply", body=body))[
+                0
+            ] == 400
 
-        with_desk(check)
+        run_with_client(check)
 
 
 class TestDrains:
-    def test_is_a_change_that_cancelling_takes_back(self):
-        async def check(desk):
-            before = desk.entry.config.manifest
+    def test_cancelled_drain_restores_manifest(self):
+        async def check(client):
+            before = client.entry.config.manifest
             path = "/v1/drains/worker/worker-1"
-            assert (await desk.call("GET", path))[0] == 404
-            status, answer = await desk.call("PUT", f"{path}?reason=disk", "operator")
+            assert (await client.call("GET", path))[0] == 404
+            status, answer = await client.call("PUT", f"{path}?reason=disk", "operator")
             assert (status, answer["version"]) == (200, 2)
-            status, progress = await desk.call("GET", path, "viewer")
+            status, progress = await client.call("GET", path, "viewer")
             assert progress["covered"] == ["agent-1/upstream-1"]
-            _, told = await desk.call("GET", "/v1/status", "viewer")
+            _, told = await client.call("GET", "/v1/status", "viewer")
             health = {agent["id"]: agent["health"] for agent in told["agents"]}
             assert health == {
                 "agent-1": "leaving",
@@ -225,46 +231,46 @@
             }
             request = HttpRequest("GET", "/s/voting/x")
             for _ in range(20):
-                assert (await desk.fleet.call("entry-1", request)).status == 200
-            assert not desk.fleet.upstreams["agent-1"].starts
-            status, _ = await desk.call("DELETE", f"{path}?reason=mended", "operator")
+                assert (await client.fleet.call("entry-1", request)).status == 200
+            assert not client.fleet.upstreams["agent-1"].starts
+            status, _ = await client.call("DELETE", f"{path}?reason=mended", "operator")
             assert status == 200
-            assert desk.entry.config.manifest == before
-            assert (await desk.call("DELETE", f"{path}?reason=again"))[0] == 404
+            assert client.entry.config.manifest == before
+            assert (await client.call("DELETE", f"{path}?reason=again"))[0] == 404
 
-        with_desk(check)
+        run_with_client(check)
 
-    def test_is_refused_where_the_rest_cannot_carry_the_load(self):
-        async def check(desk):
+    def test_drain_beyond_remaining_capacity_needs_force(self):
+        async def check(client):
             async with trio.open_nursery() as nursery:
                 for number in range(20):
                     request = HttpRequest(
                         "POST", "/s/voting/x?run_ms=2000", body=b"%d" % number
                     )
-                    nursery.start_soon(desk.fleet.call, "entry-1", request)
+                    nursery.start_soon(client.fleet.call, "entry-1", request)
                 await trio.sleep(1)
                 path = "/v1/drains/zone/zone-1?reason=power"
-                status, problem = await desk.call("PUT", path)
+                status, problem = await client.call("PUT", path)
                 assert status == 409
                 (left,) = problem["content"]["remainders"]
                 assert (left["slots"], left["load"]) == (16, 20)
-                assert (await desk.call("PUT", path + "&force=true"))[0] == 200
+                assert (await client.call("PUT", path + "&force=true"))[0] == 200
 
-        with_desk(check)
+        run_with_client(check)
 
     @pytest.mark.parametrize("path", ["moon/x", "worker/a%2Fb", "worker/"])
-    def test_a_bad_name_is_refused(self, path):
-        async def check(desk):
-            assert (await desk.call("PUT", f"/v1/drains/{path}?reason=x"))[0] == 400
+    def test_invalid_drain_name_returns_400(self, path):
+        async def check(client):
+            assert (await client.call("PUT", f"/v1/drains/{path}?reason=x"))[0] == 400
 
-        with_desk(check)
+        run_with_client(check)
 
 
-class TestDescription:
-    def test_the_page_is_that_of_the_code(self):
+class TestOpenApiDocument:
+    def test_openapi_page_is_up_to_date(self):
         assert OPENAPI.read_text() == encode_api()
 
-    def test_every_route_is_described_and_answers(self):
+    def test_every_route_is_documented_and_reachable(self):
         described = {
             (method.upper(), path)
             for path, operations in describe_api()["paths"].items()
@@ -272,19 +278,19 @@
         }
         assert described == {(route.method, route.path) for route in ROUTES}
 
-        async def check(desk):
+        async def check(client):
             for method, path in sorted(described):
                 target = path.format(kind="worker", name="x", team="getxo")
-                status, _ = await desk.call(method, target, body={})
+                status, _ = await client.call(method, target, body={})
                 assert status not in (405, 500), (method, path)
                 nothing = "nothing is at"
-                assert nothing not in json.dumps(await desk.call(method, target))
+                assert nothing not in json.dumps(await client.call(method, target))
 
-        with_desk(check)
+        run_with_client(check)
 
-    def test_unknown_paths_and_methods_are_told(self):
-        async def check(desk):
-            assert (await desk.call("GET", "/v1/moon"))[0] == 404
-            assert (await desk.call("POST", "/v1/status"))[0] == 405
+    def test_unknown_path_returns_404_and_wrong_method_405(self):
+        async def check(client):
+            assert (await client.call("GET", "/v1/moon"))[0] == 404
+            assert (await client.call("POST", "/v1/status"))[0] == 405
 
-        with_desk(check)
+        run_with_client(check)
--- a/bergamotcourse/tests/daemons/test_whole_path.py
+++ b/bergamotcourse/tests/daemons/test_end_to_end.py
@@ -42,18 +42,18 @@
     return json.dumps(body).encode()
 
 
-class TestWholePath:
-    """Separate processes on loopback: platform, entries, agents, upstreams."""
+class TestEndToEnd:
+    """Platform, entries, agents and upstreams as separate processes on loopback."""
 
     @pytest.mark.parametrize("entry", ENTRIES)
-    def test_a_session_request_is_answered_whole(self, fleet, entry):
+    def test_session_request_returns_upstream_response(self, fleet, entry):
         reply = fleet.request(entry, "POST", "/s/voting/cast", f"one-{entry}".encode())
         assert reply.status == 200, fleet.logs()
         assert reply.body.endswith(f"POST one-{entry}".encode())
         assert reply.headers["bergamotcourse-outcome"] == "done"
 
     @pytest.mark.parametrize("entry", ENTRIES)
-    def test_a_job_is_answered_whole_and_in_order(self, fleet, entry):
+    def test_job_returns_all_results_in_order(self, fleet, entry):
         reply = fleet.request(
             entry,
             "POST",
@@ -67,7 +67,7 @@
             f"{entry}-{n}" for n in range(30)
         ]
 
-    def test_a_resubmission_through_the_other_entry_starts_nothing(self, fleet):
+    def test_resubmission_through_other_entry_starts_no_task(self, fleet):
         replies = [
             fleet.request(
                 entry, "POST", "/v1/jobs", job("again", 5), idempotency_key="again"
@@ -79,7 +79,7 @@
         starts = fleet.record(UPSTREAMS)
         assert [starts[f"again-{n}"] for n in range(5)] == [1] * 5
 
-    def test_the_key_with_another_body_is_refused(self, fleet):
+    def test_reused_key_with_other_body_returns_422(self, fleet):
         first = fleet.request(
             ENTRIES[0], "POST", "/v1/jobs", job("first", 1), idempotency_key="two"
         )
@@ -89,7 +89,7 @@
         assert (first.status, second.status) == (200, 422)
         assert "second-0" not in fleet.record(UPSTREAMS)
 
-    def test_unknown_teams_and_services_are_refused(self, fleet):
+    def test_unknown_team_and_service_are_rejected(self, fleet):
         unknown = fleet.request(
             ENTRIES[0], "GET", "/s/voting/x", authorization="Bearer no"
         )
--- a/bergamotcourse/tests/daemons/test_imports.py
+++ b/bergamotcourse/tests/daemons/test_imports.py
@@ -7,7 +7,7 @@
 
 
 @pytest.fixture(scope="module")
-def loaded():
+def loaded_modules():
     command = [sys.executable, "-c", PROGRAM]
     result = subprocess.run(command, capture_output=True, text=True, timeout=60)
     assert result.returncode == 0, result.stderr
@@ -15,10 +15,10 @@
 
 
 class TestImports:
-    """What the command line loads, each daemon holds in memory for its life."""
+    """Modules loaded by the command line stay in the memory of each daemon."""
 
     @pytest.mark.parametrize(
         "module", ["pytest", "trio.testing", "hypothesis", "numpy", "matplotlib"]
     )
-    def test_nothing_of_tests_or_figures_is_loaded(self, loaded, module):
-        assert module not in loaded
+    def test_command_line_loads_no_test_or_plot_library(self, loaded_modules, module):
+        assert module not in loaded_modules
--- a/bergamotcourse/tests/daemons/test_job_metrics.py
+++ b/bergamotcourse/tests/daemons/test_job_metrics.py
@@ -30,5 +30,5 @@
         name = 'bergamotcourse_seconds_bucket{le="0.15",outcome="done",stage="run"}'
         assert f"{name} 1.0" in text
 
-    def test_serves_nothing_else(self):
+    def test_other_path_returns_404(self):
         assert scrape(JobMetrics(), "/other").status == 404
--- a/bergamotcourse/tests/daemons/test_json_log.py
+++ b/bergamotcourse/tests/daemons/test_json_log.py
@@ -23,7 +23,7 @@
         assert line["node"] == "entry-1"
         assert line["request"] == "a"
 
-    def test_is_bounded_for_each_kind_and_tells_what_was_left_out(self):
+    def test_lines_beyond_rate_limit_are_omitted_and_counted(self):
         reader, writer = os.pipe()
         seconds = [1.0]
         log = JsonLog("entry-1", writer, lambda: seconds[0])
@@ -38,24 +38,24 @@
         assert [line["event"] for line in lines[-2:]] == ["job.taken", "log.omitted"]
         assert lines[-1]["kinds"] == {"run.end": 7}
 
-    def test_never_blocks_on_a_reader_that_does_not_read(self):
+    def test_stalled_reader_does_not_block_process(self):
         reader, writer = os.pipe()
         os.set_blocking(writer, False)
         log = JsonLog("entry-1", writer)
         for _ in range(40):
             log.lines += [b"x" * 1000 + b"\n"] * 1000
             log.flush()
-        assert len(log.rest) > 0
+        assert len(log.unwritten) > 0
         log.lines.clear()
         log.sink("job.taken", {})
         assert log.dropped or log.lines
         os.close(reader)
 
-    def test_goes_on_when_the_reader_is_gone(self):
+    def test_closed_pipe_discards_lines_without_error(self):
         reader, writer = os.pipe()
         os.set_blocking(writer, False)
         os.close(reader)
         log = JsonLog("entry-1", writer)
         log.sink("job.taken", {})
         log.flush()
-        assert log.rest == b""
+        assert log.unwritten == b""
--- a/bergamotcourse/tests/daemons/test_metrics.py
+++ b/bergamotcourse/tests/daemons/test_metrics.py
@@ -7,16 +7,21 @@
 import trio
 
 import bergamotcourse
-from bergamotcourse.daemons.metric_names import AGENT, ENTRY, MetricKind, metrics_page
+from bergamotcourse.daemons.metric_names import (
+    AGENT_METRICS,
+    ENTRY_METRICS,
+    MetricKind,
+    metrics_page,
+)
 from bergamotcourse.daemons.metric_samples import (
     agent_sample,
     entry_sample,
-    time_agent,
-    time_entry,
-    timed,
+    record_agent_task_times,
+    record_entry_task_times,
+    with_response_times,
 )
 from bergamotcourse.daemons.metrics import (
-    TIMINGS_KEPT,
+    MAX_TIMER_VALUES,
     MetricsReporter,
     Sample,
     Timings,
@@ -38,7 +43,7 @@
 
 
 def report(receiver, samples, timings=None):
-    """Report samples one after the other; return the lines received."""
+    """Report samples in order and return the lines received."""
     listen = SocketAddress(host="127.0.0.1", port=receiver.getsockname()[1])
     timings = timings or Timings(random.Random(1))
     left = list(samples)
@@ -57,8 +62,8 @@
     return [line.removeprefix("bergamotcourse.entry.a_b.") for line in lines[:-1]]
 
 
-def measured(role):
-    """The names that a process under some load reports, with their kinds."""
+def reported_metrics(role):
+    """Return the metrics that a process under load reports, by name, with kinds."""
     names = {}
 
     async def main():
@@ -69,42 +74,46 @@
             entry, agent = virtual.entry, fleet.agents["agent-1"].agent
             timings = Timings(random.Random(1))
             if role == "entry":
-                time_entry(entry, timings)
-                virtual.api.handle = timed(virtual.api.handle, entry.timers, timings)
+                record_entry_task_times(entry, timings)
+                virtual.api.handle = with_response_times(
+                    virtual.api.handle, entry.timers, timings
+                )
             else:
-                time_agent(agent, timings)
+                record_agent_task_times(agent, timings)
             for number in range(20):
                 target = f"/s/voting/x?run_ms=20&status={[200, 500][number == 3]}"
                 await fleet.call("entry-1", HttpRequest("GET", target))
             sample = entry_sample(entry) if role == "entry" else agent_sample(agent)
             names.update(sample.names())
-            names.update(dict.fromkeys(timings.take(), MetricKind.TIMER))
+            names.update(dict.fromkeys(timings.take_all(), MetricKind.TIMER))
             nursery.cancel_scope.cancel()
 
     run_virtual(main, 1)
     return names
 
 
-class TestNames:
-    def test_the_page_is_that_of_the_code(self):
+class TestMetricNames:
+    def test_metrics_page_is_up_to_date(self):
         assert PAGE.read_text() == metrics_page()
 
-    @pytest.mark.parametrize(("role", "metrics"), [("entry", ENTRY), ("agent", AGENT)])
-    def test_what_is_sent_is_listed_and_what_is_listed_is_sent(self, role, metrics):
+    @pytest.mark.parametrize(
+        ("role", "metrics"), [("entry", ENTRY_METRICS), ("agent", AGENT_METRICS)]
+    )
+    def test_reported_and_documented_metrics_match(self, role, metrics):
         patterns = {
             re.compile(re.sub(r"\\{\w+\\}", r"\\w+", re.escape(one.name))): one
             for one in metrics
         }
         used = set()
-        for name, kind in measured(role).items():
+        for name, kind in reported_metrics(role).items():
             found = [one for at, one in patterns.items() if at.fullmatch(name)]
             assert [one.kind for one in found] == [kind], name
             used.update(found)
         assert used == set(metrics)
 
 
-class TestReporter:
-    def test_sends_what_counters_gained(self, statsd):
+class TestMetricsReporter:
+    def test_sends_counter_increases(self, statsd):
         totals = [{"a": 5, "b": 0}, {"a": 7}, {"a": 1}]
         lines = report(statsd, [Sample(counters=one) for one in totals])
         assert lines == ["a:5|c", "a:2|c", "a:1|c"]
@@ -112,16 +121,16 @@
     def test_sends_gauges(self, statsd):
         assert report(statsd, [Sample(gauges={"x": 0.5})]) == ["x:0.5|g"]
 
-    def test_sends_some_values_of_a_timer_with_their_share(self, statsd):
+    def test_timer_values_are_sampled_with_rate(self, statsd):
         timings = Timings(random.Random(1))
-        for value in range(10 * TIMINGS_KEPT):
+        for value in range(10 * MAX_TIMER_VALUES):
             timings.add("run", value)
         lines = report(statsd, [Sample()], timings)
-        assert len(lines) == TIMINGS_KEPT
+        assert len(lines) == MAX_TIMER_VALUES
         assert all(line.endswith("|ms|@0.100000") for line in lines)
         assert not timings.timings
 
-    def test_a_receiver_that_is_gone_is_no_error(self, statsd):
+    def test_closed_receiver_raises_no_error(self, statsd):
         port = statsd.getsockname()[1]
         statsd.close()
         listen = SocketAddress(host="127.0.0.1", port=port)
--- a/bergamotcourse/tests/daemons/test_stops.py
+++ b/bergamotcourse/tests/daemons/test_process_lifecycle.py
@@ -35,7 +35,7 @@
 
 
 def begin_request(fleet, path=SLOW, body=BODY):
-    """Send a request from a thread; return the list that gets its reply."""
+    """Send a request from a thread; return the thread and the list for its reply."""
     replies = []
     thread = threading.Thread(
         target=lambda: replies.append(fleet.request("entry-1", "POST", path, body))
@@ -48,10 +48,10 @@
 
 
 class TestGracefulStop:
-    """SIGTERM: what is in progress is answered whole, then the process ends."""
+    """After SIGTERM, requests in flight are completed, then the process exits."""
 
     @pytest.mark.parametrize("name", ["entry-1", "agent-1"])
-    def test_a_request_in_progress_is_answered_whole(self, fleet, name):
+    def test_sigterm_completes_request_in_flight(self, fleet, name):
         start_all(fleet)
         thread, replies = begin_request(fleet)
         code = fleet.terminate(name)
@@ -60,20 +60,20 @@
         assert replies[0].body.endswith(BODY)
         assert code == 0, fleet.logs()
 
-    def test_new_connections_are_refused_meanwhile(self, fleet):
+    def test_stopping_entry_refuses_new_connections(self, fleet):
         start_all(fleet)
         thread, replies = begin_request(fleet)
         process = fleet.processes["entry-1"]
         process.terminate()
-        fleet.wait(lambda: not accepts(fleet, "entry-1"), "refused")
+        fleet.wait(lambda: not accepts_connections(fleet, "entry-1"), "refused")
         assert process.poll() is None
         thread.join(30)
         assert replies[0].status == 200, fleet.logs()
         assert fleet.terminate("entry-1") == 0
 
     @pytest.mark.parametrize("name", ["entry-1", "agent-1"])
-    def test_more_signals_change_nothing_to_the_very_end(self, fleet, name):
-        """One that comes while the process ends must not kill it."""
+    def test_repeated_sigterm_does_not_kill_process(self, fleet, name):
+        """A SIGTERM received while the process exits must not kill it."""
         start_all(fleet)
         process = fleet.processes[name]
         while process.poll() is None:
@@ -82,7 +82,7 @@
         assert process.returncode == 0, fleet.logs()
 
     @pytest.mark.parametrize("name", ["entry-1", "agent-1"])
-    def test_what_outlasts_the_wait_gets_its_outcome(self, fleet, name):
+    def test_request_beyond_drain_timeout_gets_unknown_outcome(self, fleet, name):
         start_all(fleet, drain_seconds=0.3)
         path = "/s/voting/cast?run_ms=20000"
         thread, replies = begin_request(fleet, path, b"slow")
@@ -92,7 +92,7 @@
         assert replies[0].json()["outcome"] == "unknown"
 
     @pytest.mark.parametrize("name", ["entry-1", "agent-1"])
-    def test_a_second_interrupt_ends_it_now(self, fleet, name):
+    def test_second_sigint_ends_process_at_once(self, fleet, name):
         start_all(fleet)
         begin_request(fleet, "/s/voting/cast?run_ms=8000", b"slow")
         process = fleet.processes.pop(name)
@@ -105,11 +105,11 @@
 
 
 class TestStart:
-    """What keeps a daemon from starting is told in one line."""
+    """A failure to start is reported in one line."""
 
     @pytest.mark.parametrize("kind", ["entry", "agent"])
     @pytest.mark.parametrize("taken", ["x", "x link"])
-    def test_a_taken_address_is_named(self, fleet, kind, taken):
+    def test_address_in_use_is_reported_in_one_line(self, fleet, kind, taken):
         with socket.socket() as other:
             other.bind(("127.0.0.1", fleet.port(taken)))
             other.listen()
@@ -121,16 +121,16 @@
         assert f"127.0.0.1:{fleet.port(taken)}" in line
 
 
-class TestNoise:
-    """Bytes that are no protocol's, on every port: nothing else is disturbed."""
+class TestGarbageInput:
+    """Invalid bytes on any port must not affect other requests."""
 
-    def test_garbage_disturbs_no_one(self, fleet):
+    def test_garbage_on_any_port_does_not_disturb_requests(self, fleet):
         start_all(fleet)
         ports = [n for n in fleet.ports if n.startswith(("entry", "agent"))]
         thread, replies = begin_request(fleet)
         for name in ports:
             for noise in [b"\0" * 4096, b"GET / HTTP/9\r\n\r\n", b"\xff" * 100_000]:
-                send(fleet.port(name), noise)
+                send_bytes(fleet.port(name), noise)
         thread.join(30)
         assert replies[0].status == 200, fleet.logs()
         assert fleet.get("entry-1", "/s/voting/after").status == 200, fleet.logs()
@@ -139,10 +139,10 @@
             assert fleet.terminate(name) == 0
 
 
-class TestTwoAgentsOfOneName:
-    """The one that registered last is the agent; the other disturbs no one."""
+class TestDuplicateAgentName:
+    """The agent that registered last replaces the other without failed requests."""
 
-    def test_requests_go_on(self, fleet):
+    def test_requests_succeed_at_agent_registered_last(self, fleet):
         start_all(fleet)
         fleet.start_upstream("upstream-2", "agent-twin")
         worker = {"worker": "worker-twin", "heartbeat_seconds": 0.3}
@@ -164,7 +164,7 @@
         assert bodies == {b"upstream-2"}
 
 
-def accepts(fleet, name):
+def accepts_connections(fleet, name):
     try:
         socket.create_connection(("127.0.0.1", fleet.port(name)), 1).close()
     except OSError:
@@ -172,7 +172,7 @@
     return True
 
 
-def send(port, noise):
+def send_bytes(port, noise):
     with socket.create_connection(("127.0.0.1", port), 1) as stream:
         stream.settimeout(0.2)
         try:
