--- a/bergamotcourse/__main__.py
+++ b/bergamotcourse/__main__.py
@@ -23,16 +23,23 @@
     "--settings", required=True, metavar="FILE", help="Settings of the process (YAML)."
 )
 PLATFORM = click.option(
-    "--platform", required=True, metavar="IP:PORT", help="The platform's service."
+    "--platform",
+    required=True,
+    metavar="IP:PORT",
+    help="Address of the platform's service.",
+)
+JSON = click.option("--json", is_flag=True, help="Write JSON instead of text.")
+WHO = click.option(
+    "--who", required=True, help="Author of the change, for the audit trail."
+)
+REASON = click.option(
+    "--reason", required=True, help="Reason for the change, for the audit trail."
 )
-JSON = click.option("--json", is_flag=True, help="Write JSON for a machine to read.")
-WHO = click.option("--who", required=True, help="Who changes it, for the audit trail.")
-REASON = click.option("--reason", required=True, help="Why, for the audit trail.")
 DRY_RUN = click.option("--dry-run", is_flag=True, help="Compare only.")
 TOKEN_FILE = click.option(
     "--token-file",
     metavar="FILE",
-    help="Holds the bearer token; else BERGAMOTCOURSE_TOKEN does.",
+    help="File with the bearer token; default: BERGAMOTCOURSE_TOKEN.",
 )
 
 
@@ -45,7 +52,7 @@
 @cli.command()
 @SETTINGS
 def entry(settings: str) -> None:
-    """Run an entry: takes callers' jobs and session requests."""
+    """Run an entry, which accepts callers' jobs and session requests."""
     sys.exit(processes.run_daemon(ProcessKind.ENTRY, settings))
 
 
@@ -62,11 +69,11 @@
     "--kind",
     type=click.Choice(["manifest", "entry", "agent"]),
     default="manifest",
-    help="What the file holds.",
+    help="Kind of file.",
 )
 @JSON
 def validate(file: str, kind: str, json: bool) -> None:
-    """Check a manifest or settings FILE whole: all errors and warnings at once."""
+    """Check a manifest or settings FILE; report all errors and warnings."""
     if kind == "manifest":
         sys.exit(validate_command.validate(file, json))
     sys.exit(validate_command.validate_settings(file, ProcessKind(kind), json))
@@ -74,7 +81,7 @@
 
 @cli.command()
 def schema() -> None:
-    """Write the JSON Schema of the manifest, for the pipeline that makes it."""
+    """Write the JSON Schema of the manifest, for the pipeline that generates it."""
     sys.exit(validate_command.print_schema())
 
 
@@ -83,7 +90,7 @@
 @PLATFORM
 @JSON
 def diff(file: str, platform: str, json: bool) -> None:
-    """Compare a manifest FILE with what is in force, in words."""
+    """Compare a manifest FILE with the accepted manifest."""
     sys.exit(diff_command.diff(file, platform, json))
 
 
@@ -94,7 +101,7 @@
     "--reviewed-version",
     required=True,
     type=int,
-    help="The version that diff compared with; 0 for the first.",
+    help="Version that diff compared with; 0 if none is accepted yet.",
 )
 @WHO
 @REASON
@@ -104,7 +111,7 @@
     type=float,
     default=0.0,
     metavar="SECONDS",
-    help="Wait so long until it is in force everywhere, and say where it is not.",
+    help="Longest wait for all entries to have it in force; lists lagging entries.",
 )
 @JSON
 def apply(
@@ -117,7 +124,7 @@
     wait: float,
     json: bool,
 ) -> None:
-    """Have a manifest FILE accepted, if nothing changed since its review."""
+    """Submit a manifest FILE, accepted only if nothing changed since its review."""
     sys.exit(
         apply_command.apply(
             file, platform, reviewed_version, who, reason, dry_run, json, wait=wait
@@ -135,7 +142,7 @@
 def rollback(
     version: int, platform: str, who: str, reason: str, dry_run: bool, json: bool
 ) -> None:
-    """Accept the content of an earlier VERSION anew, as a new version."""
+    """Accept the content of an earlier VERSION as a new version."""
     sys.exit(
         rollback_command.rollback(
             version, platform, who, reason, dry_run=dry_run, json=json
@@ -145,12 +152,18 @@
 
 @cli.command()
 @PLATFORM
-@click.option("--who", default="", help="Only changes by this person or pipeline.")
+@click.option("--who", default="", help="Only changes by this author.")
 @click.option("--path", default="", help="Only changes under this path.")
-@click.option("--since", default="", help="Only changes from this time on (ISO).")
-@click.option("--first", type=int, default=1, help="First version.")
-@click.option("--last", type=int, default=None, help="Last version.")
-@click.option("--verify", is_flag=True, help="Check that no record is missing.")
+@click.option(
+    "--since", default="", help="Only changes at or after this time (ISO 8601)."
+)
+@click.option("--first", type=int, default=1, help="First version to show.")
+@click.option(
+    "--last", type=int, default=None, help="Last version to show; default: the newest."
+)
+@click.option(
+    "--verify", is_flag=True, help="Check that no record is missing or altered."
+)
 @JSON
 def audit(
     platform: str,
@@ -162,7 +175,7 @@
     verify: bool,
     json: bool,
 ) -> None:
-    """Read the audit trail of changes, or verify it."""
+    """Show or verify the audit trail of changes."""
     if verify:
         sys.exit(audit_command.audit_verify(platform, json))
     sys.exit(audit_command.audit(platform, who, path, since, first, last, json))
@@ -180,7 +193,7 @@
 @TOKEN_FILE
 @JSON
 def status(entries: tuple[str, ...], token_file: str | None, json: bool) -> None:
-    """Show entries, and the agents, queues and ranges that they know."""
+    """Show the status of entries and of the agents, queues and ranges they know."""
     sys.exit(status_command.status(list(entries), token_file, json))
 
 
@@ -190,29 +203,33 @@
 @PLATFORM
 @WHO
 @REASON
-@click.option("--cancel", is_flag=True, help="Cancel the drain instead.")
+@click.option("--cancel", is_flag=True, help="Cancel the drain instead of starting it.")
 @click.option(
     "--entry",
     "entries",
     multiple=True,
     metavar="IP:PORT",
-    help="Admin listener of an entry, for load and progress; give all of them.",
+    help="Admin listener of an entry, for load and progress; list all entries.",
 )
 @TOKEN_FILE
-@click.option("--wait", is_flag=True, help="Wait until nothing runs there.")
+@click.option("--wait", is_flag=True, help="Wait until no task runs there.")
 @click.option("--timeout", type=float, default=600.0, help="Longest wait, seconds.")
-@click.option("--force", is_flag=True, help="Also where the rest can't take the load.")
+@click.option(
+    "--force",
+    is_flag=True,
+    help="Drain even if the remaining slots cannot carry the load.",
+)
 @DRY_RUN
 @JSON
 def drain(kind: str, name: str, wait: bool, timeout: float, entries, **more) -> None:
     """Take an upstream, worker, rack, zone or release out of service."""
-    order = drain_command.DrainOrder(
+    options = drain_command.DrainOptions(
         drain=Drain(kind=DrainKind(kind), name=name),
         entries=list(entries),
         wait_seconds=timeout if wait else 0.0,
         **more,
     )
-    sys.exit(drain_command.drain(order))
+    sys.exit(drain_command.drain(options))
 
 
 @cli.command()
@@ -223,27 +240,33 @@
     multiple=True,
     required=True,
     metavar="IP:PORT",
-    help="Callers' listener of an entry; others are tried in turn.",
+    help="Callers' listener of an entry; several are tried in turn.",
 )
-@click.option("--key", default="", help="Idempotency key; a new one if left out.")
+@click.option("--key", default="", help="Idempotency key; default: a new one.")
 @TOKEN_FILE
 @click.option("--timeout", type=float, default=300.0, help="Longest wait, seconds.")
 def submit(
     file: str, entries: tuple[str, ...], key: str, token_file: str, timeout: float
 ) -> None:
-    """Submit the job or session request in FILE (JSON or YAML), wait, print it."""
-    order = submit_command.SubmitOrder(file, list(entries), key, token_file, timeout)
-    sys.exit(submit_command.submit(order))
+    """Submit the job or session request in FILE (JSON or YAML); print its answer."""
+    options = submit_command.SubmitOptions(
+        file, list(entries), key, token_file, timeout
+    )
+    sys.exit(submit_command.submit(options))
 
 
 @cli.command()
 @click.argument("files", nargs=-1)
-@click.option("--seed", type=int, default=1, help="Of all that is random.")
-@click.option("--random", type=int, default=0, help="Run so many random schedules.")
-@click.option("--verbose", is_flag=True, help="Print all answers and starts.")
+@click.option(
+    "--seed", type=int, default=1, help="Seed of the random number generators."
+)
+@click.option(
+    "--random", type=int, default=0, help="Number of random fault schedules to run."
+)
+@click.option("--verbose", is_flag=True, help="Also print all answers and task starts.")
 def scenario(files: tuple[str, ...], seed: int, random: int, verbose: bool) -> None:
-    """Run scenario FILES, or random schedules of faults, on a virtual fleet."""
-    # Loaded here only: with trio's tools for tests it takes 8 MB of each daemon.
+    """Run scenario FILES, or random fault schedules, on a virtual fleet."""
+    # Imported here: with trio.testing it would cost each daemon 8 MB of memory.
     from bergamotcourse.commands import scenario as scenario_command
 
     if random:
@@ -257,12 +280,12 @@
     "--without",
     multiple=True,
     metavar="MECHANISM",
-    help="Compare with this mechanism switched off; all: each in turn.",
+    help="Also replay with this mechanism disabled; all: each in turn.",
 )
-@click.option("--seed", type=int, default=1, help="The first.")
-@click.option("--seeds", type=int, default=5, help="How many.")
-@click.option("--jobs", type=int, default=4, help="Replays at a time.")
-@click.option("--plot", metavar="PNG", help="Draw the comparison too.")
+@click.option("--seed", type=int, default=1, help="First seed.")
+@click.option("--seeds", type=int, default=5, help="Number of seeds.")
+@click.option("--jobs", type=int, default=4, help="Replays to run in parallel.")
+@click.option("--plot", metavar="PNG", help="Also plot the comparison to this file.")
 def replay(
     file: str,
     without: tuple[str, ...],
@@ -271,11 +294,11 @@
     jobs: int,
     plot: str | None,
 ) -> None:
-    """Replay a load FILE on a virtual fleet, and compare ways to decide."""
+    """Replay a load FILE on a virtual fleet under several dispatch policies."""
     from bergamotcourse.commands import replay as replay_command
 
-    numbers = range(seed, seed + seeds)
-    sys.exit(replay_command.replay(file, list(without), numbers, jobs, plot))
+    seed_range = range(seed, seed + seeds)
+    sys.exit(replay_command.replay(file, list(without), seed_range, jobs, plot))
 
 
 @cli.command()
@@ -283,20 +306,20 @@
 @click.argument("logs", nargs=-1, required=True)
 @JSON
 def trace(request_id: str, logs: tuple[str, ...], json: bool) -> None:
-    """Show the lines of the request ID (of a trace or submission) in LOGS, in order."""
+    """Show the log lines in LOGS of a trace or submission ID, in order."""
     sys.exit(trace_command.trace(request_id, list(logs), json))
 
 
 @cli.group()
 def standin() -> None:
-    """Stand-ins for the systems outside, for trials and tests."""
+    """Run stand-ins for external systems, for trials and tests."""
 
 
 @standin.command("platform")
 @click.option("--host", default="127.0.0.1")
 @click.option("--port", type=int, required=True)
 def standin_platform(host: str, port: int) -> None:
-    """Run a stand-in of the platform's table and object store."""
+    """Run a stand-in for the platform's table and object store."""
     sys.exit(processes.run_platform(host, port))
 
 
@@ -310,12 +333,12 @@
 def standin_upstream(
     name: str, service: str, slots: int, host: str, port: int, agent: str
 ) -> None:
-    """Run a stand-in of an upstream that announces itself to an agent."""
+    """Run a stand-in for an upstream, which announces itself to an agent."""
     sys.exit(processes.run_upstream(name, service, slots, host, port, agent))
 
 
 def main() -> None:
-    """Run the command line; known errors end in one line."""
+    """Run the command line; report known errors on one line."""
     failed = False
     try:
         cli()
--- a/bergamotcourse/commands/__init__.py
+++ b/bergamotcourse/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each command of the command line."""
+"""The commands of the command line, one module each."""
--- a/bergamotcourse/commands/admin_client.py
+++ b/bergamotcourse/commands/admin_client.py
@@ -1,4 +1,4 @@
-"""The commands' requests to the administration API of entries."""
+"""Requests of the commands to the admin API of entries."""
 
 import os
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 from bergamotcourse.transport.http_client import HttpClient
 
 TOKEN_VARIABLE = "BERGAMOTCOURSE_TOKEN"
-TIMEOUT_SECONDS = 5.0
+REQUEST_TIMEOUT_SECONDS = 5.0
 UNAUTHORIZED = 401
 FORBIDDEN = 403
 OK = 200
@@ -26,21 +26,22 @@
 
 @dataclass(frozen=True)
 class ForbiddenError(StepError):
-    """The entry does not know the token, or its role may not do that."""
+    """The entry does not know the token, or its role does not permit the request."""
 
 
 @dataclass(frozen=True)
 class StatusReply:
-    """What one entry answered: its status, or why there is none."""
+    """Status of one entry, or the error of its request."""
 
     address: str
     result: Result[EntryStatus, StepError]
 
 
 def read_token(path: str | None) -> Result[str, StepError]:
-    """Return the bearer token of a file, or else of the environment.
+    """Return the bearer token from a file, or from the environment without a path.
 
-    A token never stands on the command line, where other users could read it.
+    The token is never a command-line argument, because other users of the machine
+    could read it from the process list.
     """
     if path is None:
         token = os.environ.get(TOKEN_VARIABLE, "")
@@ -55,23 +56,23 @@
 
 
 async def read_statuses(addresses: list[str], token: str) -> list[StatusReply]:
-    """Ask all entries for their status at once; return the replies in order."""
+    """Request the status of all entries concurrently; return replies in order."""
     replies: dict[int, StatusReply] = {}
 
-    async def ask(place: int, address: str) -> None:
+    async def fetch_status(index: int, address: str) -> None:
         result = await get_json(address, "/v1/status", token, EntryStatus)
-        replies[place] = StatusReply(address, result)
+        replies[index] = StatusReply(address, result)
 
     async with trio.open_nursery() as nursery:
-        for place, address in enumerate(addresses):
-            nursery.start_soon(ask, place, address)
-    return [replies[place] for place in range(len(addresses))]
+        for index, address in enumerate(addresses):
+            nursery.start_soon(fetch_status, index, address)
+    return [replies[index] for index in range(len(addresses))]
 
 
 async def get_json(
     address: str, target: str, token: str, kind: type[T]
 ) -> Result[T, StepError]:
-    """Return what an entry answers to a GET request, as a type."""
+    """Send a GET request to an entry and decode its JSON answer as ``kind``."""
     parsed = parse_address(address)
     if parsed.is_error():
         return Error(parsed.error)
@@ -79,13 +80,13 @@
     headers = [("authorization", f"Bearer {token}")]
     request = HttpRequest("GET", target, headers)
     try:
-        response = await client.request(request, TIMEOUT_SECONDS)
+        response = await client.request(request, REQUEST_TIMEOUT_SECONDS)
     finally:
         await client.aclose()
-    return response.bind(lambda answer: _decode(answer, address, kind))
+    return response.bind(lambda answer: _decode_response(answer, address, kind))
 
 
-def _decode(
+def _decode_response(
     response: HttpResponse, address: str, kind: type[T]
 ) -> Result[T, StepError]:
     if response.status in (UNAUTHORIZED, FORBIDDEN):
@@ -99,7 +100,7 @@
 
 
 def problem_detail(response: HttpResponse) -> str:
-    """Return the detail of problem details, or the status of another response."""
+    """Return the ``detail`` of a problem response, or its status if it has none."""
     try:
         problem: Any = msgspec.json.decode(response.body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
--- a/bergamotcourse/commands/announce.py
+++ b/bergamotcourse/commands/announce.py
@@ -1,4 +1,4 @@
-"""Telling the entries of a change by the command that had it accepted."""
+"""Announcement of an accepted change to the entries by the command."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -22,27 +22,29 @@
 from bergamotcourse.transport.link import Link
 from bergamotcourse.transport.nng_link import NngLink
 
-ANY_PORT = 0
+EPHEMERAL_PORT = 0
 
-Change = Callable[[Platform], Awaitable[Result[ApplyOutcome, StepError]]]
+ConfigChange = Callable[[Platform], Awaitable[Result[ApplyOutcome, StepError]]]
 LinkOpener = Callable[[str], Link]
 
 
 def open_link(platform: str) -> Link:
-    """Return a link on the IP number by which this machine reaches the platform."""
-    listen = parse_address(platform).ok
-    family = socket.AF_INET6 if ":" in listen.host else socket.AF_INET
+    """Open a link on the local IP number that routes to the platform."""
+    platform_address = parse_address(platform).ok
+    family = socket.AF_INET6 if ":" in platform_address.host else socket.AF_INET
     with socket.socket(family, socket.SOCK_DGRAM) as probe:
-        probe.connect((listen.host, listen.port))
-        return NngLink(probe.getsockname()[0], ANY_PORT)
+        probe.connect((platform_address.host, platform_address.port))
+        return NngLink(probe.getsockname()[0], EPHEMERAL_PORT)
 
 
-def announced(platform: str, change: Change, opener: LinkOpener = open_link) -> Change:
-    """Return a change that tells the entries at once if it is accepted.
+def with_announcement(
+    platform: str, change: ConfigChange, opener: LinkOpener = open_link
+) -> ConfigChange:
+    """Wrap a change so that the entries are notified as soon as it is accepted.
 
     Args:
         platform: Address of the platform, ``IP:PORT``.
-        change: Has a configuration accepted.
+        change: Submits a configuration to the platform.
         opener: Opens the link to the entries.
     """
 
@@ -50,9 +52,11 @@
         rows = (await read_lease_rows(store)).default_value([])
         accepted = await change(store)
         match accepted:
-            case Result(tag="ok", ok=Applied(accepted=news)) if news and rows:
+            case Result(tag="ok", ok=Applied(accepted=accepted_version)) if (
+                accepted_version and rows
+            ):
                 entries = [LinkAddress(row.address) for row in rows]
-                await announce(opener(platform), store, entries, news)
+                await announce(opener(platform), store, entries, accepted_version)
         return accepted
 
     return run
@@ -65,7 +69,7 @@
     seconds: float,
     json: bool,
 ) -> int:
-    """Wait until an accepted version is in force everywhere; return the exit code."""
+    """Wait for all entries to have a version in force; return the exit code."""
     match accepted:
         case Result(tag="ok", ok=Applied(version=version, dry_run=False)):
             pass
@@ -77,14 +81,14 @@
     async def wait(store: Platform) -> Result[InForceReport, StepError]:
         return await wait_in_force(store, ConfigVersion(version), seconds)
 
-    found = call_platform(platform, opener, wait)
-    if found.is_error():
-        return echo_error(found.error, json)
-    _echo_report(found.ok, json)
-    return ExitCode.OK if found.ok.everywhere else ExitCode.TIMED_OUT
+    reported = call_platform(platform, opener, wait)
+    if reported.is_error():
+        return echo_error(reported.error, json)
+    _echo_in_force_report(reported.ok, json)
+    return ExitCode.OK if reported.ok.everywhere else ExitCode.TIMED_OUT
 
 
-def _echo_report(report: InForceReport, json: bool) -> None:
+def _echo_in_force_report(report: InForceReport, json: bool) -> None:
     if json:
         echo_json(report)
         return
--- a/bergamotcourse/commands/apply.py
+++ b/bergamotcourse/commands/apply.py
@@ -1,18 +1,18 @@
-"""``apply``: have a reviewed manifest accepted."""
+"""``apply``: submit a reviewed manifest to the platform."""
 
 from expression import Result
 
 from bergamotcourse.commands.announce import (
     LinkOpener,
-    announced,
     echo_in_force,
     open_link,
+    with_announcement,
 )
 from bergamotcourse.commands.connect import Opener, call_platform, open_platform
 from bergamotcourse.commands.exit_codes import ExitCode
 from bergamotcourse.commands.manifest_file import read_manifest_file
 from bergamotcourse.commands.output import (
-    echo_accepted,
+    echo_apply_outcome,
     echo_invalid,
     echo_issues,
 )
@@ -35,18 +35,18 @@
     wait: float = 0.0,
     link_opener: LinkOpener = open_link,
 ) -> int:
-    """Have a manifest accepted; return the exit code.
+    """Submit a manifest to the platform; return the exit code.
 
     Args:
         file: The manifest, or ``-`` for stdin.
         platform: Address of the platform, ``IP:PORT``.
         reviewed_version: The version that ``diff`` compared with, 0 for none.
-        who: Who makes the change, for the audit trail.
-        reason: Why, for the audit trail.
+        who: Author of the change, for the audit trail.
+        reason: Reason for the change, for the audit trail.
         dry_run: Compare only.
-        json: Write JSON.
-        opener: Opens the platform.
-        wait: Seconds to wait until it is in force everywhere; 0 for no wait.
+        json: Write JSON instead of text.
+        opener: Opens the connection to the platform.
+        wait: Seconds to wait for all entries to have it in force; 0 for no wait.
         link_opener: Opens the link to the entries.
     """
     loaded = read_manifest_file(file)
@@ -61,9 +61,9 @@
             store, loaded.ok.manifest, version, who, reason, dry_run
         )
 
-    change = announced(platform, run, link_opener)
+    change = with_announcement(platform, run, link_opener)
     accepted = call_platform(platform, opener, change)
-    code = echo_accepted(accepted, json)
+    code = echo_apply_outcome(accepted, json)
     if code is not ExitCode.OK or not wait:
         return code
     return echo_in_force(accepted, platform, opener, wait, json)
--- a/bergamotcourse/commands/audit.py
+++ b/bergamotcourse/commands/audit.py
@@ -1,4 +1,4 @@
-"""``audit``: show the trail of changes, or check that it is whole."""
+"""``audit``: show the audit trail of changes, or verify that it is intact."""
 
 import click
 from expression import Result
@@ -28,23 +28,23 @@
     json: bool = False,
     opener: Opener = open_platform,
 ) -> int:
-    """Show the records that the filters let through; return the exit code.
+    """Show the records that match all filters; return the exit code.
 
     Args:
         platform: Address of the platform, ``IP:PORT``.
         who: The author, or ``""`` for any.
-        path: Start of a changed path, as in ``teams.``, or ``""`` for any.
-        since: First instant in ISO 8601 (UTC), or ``""``.
-        first: First version.
-        last: Last version; ``None`` for the newest.
-        json: Write JSON.
-        opener: Opens the platform.
+        path: Prefix of a changed path, such as ``teams.``, or ``""`` for any.
+        since: Earliest time in ISO 8601 (UTC), or ``""`` for any.
+        first: First version to show.
+        last: Last version to show; ``None`` for the newest.
+        json: Write JSON instead of text.
+        opener: Opens the connection to the platform.
     """
     newest = None if last is None else ConfigVersion(last)
-    wanted = AuditFilter(who, path, since, ConfigVersion(first), newest)
+    audit_filter = AuditFilter(who, path, since, ConfigVersion(first), newest)
 
     async def run(store: Platform) -> Result[list[Record], StepError]:
-        return await read_audit(store, wanted)
+        return await read_audit(store, audit_filter)
 
     result = call_platform(platform, opener, run)
     if result.is_error():
@@ -60,12 +60,12 @@
 def audit_verify(
     platform: str, json: bool = False, opener: Opener = open_platform
 ) -> int:
-    """Check that the trail is whole; return the exit code.
+    """Verify that the audit trail is intact; return the exit code.
 
     Args:
         platform: Address of the platform, ``IP:PORT``.
-        json: Write JSON.
-        opener: Opens the platform.
+        json: Write JSON instead of text.
+        opener: Opens the connection to the platform.
     """
     result = call_platform(platform, opener, verify_audit)
     if result.is_error():
--- a/bergamotcourse/commands/connect.py
+++ b/bergamotcourse/commands/connect.py
@@ -19,7 +19,7 @@
 T = TypeVar("T")
 
 Opener = Callable[[str], AbstractAsyncContextManager[Platform]]
-"""Opens the platform at an address ``IP:PORT``."""
+"""Opens a connection to the platform at an address ``IP:PORT``."""
 
 
 def call_platform(
@@ -27,7 +27,7 @@
     opener: Opener,
     call: Callable[[Platform], Awaitable[Result[T, StepError]]],
 ) -> Result[T, StepError]:
-    """Run a call with the platform at an address and return its result."""
+    """Connect to the platform, run a call with it and return the result."""
 
     async def run() -> Result[T, StepError]:
         async with opener(address) as platform:
@@ -41,7 +41,7 @@
 
 @asynccontextmanager
 async def open_platform(address: str) -> AsyncIterator[Platform]:
-    """Open the platform at an address and close it in the end.
+    """Connect to the platform at an address; close the connection on exit.
 
     Raises:
         BergamotcourseError: The address is not ``IP:PORT``.
@@ -57,7 +57,7 @@
 
 
 def parse_address(address: str) -> Result[SocketAddress, StepError]:
-    """Return the literal IP number and the port of ``IP:PORT``."""
+    """Parse ``IP:PORT``; host names are refused."""
     host, _, port = address.rpartition(":")
     host = host.strip("[]")
     try:
--- a/bergamotcourse/commands/diff.py
+++ b/bergamotcourse/commands/diff.py
@@ -24,8 +24,8 @@
 
 
 @dataclass(frozen=True)
-class Base:
-    """The accepted configuration."""
+class AcceptedConfig:
+    """The accepted configuration and its version."""
 
     version: ConfigVersion
     manifest: Manifest
@@ -39,8 +39,8 @@
     Args:
         file: The manifest, or ``-`` for stdin.
         platform: Address of the platform, ``IP:PORT``.
-        json: Write JSON.
-        opener: Opens the platform.
+        json: Write JSON instead of text.
+        opener: Opens the connection to the platform.
     """
     loaded = read_manifest_file(file)
     if loaded.is_error():
@@ -51,7 +51,7 @@
     changes = diff_manifests(base.ok.manifest, loaded.ok.manifest)
     if not json:
         click.echo(f"compared with accepted version {base.ok.version}:")
-    return _echo(DiffReport(base.ok.version, changes), json)
+    return _echo_diff(DiffReport(base.ok.version, changes), json)
 
 
 def diff_files(old: str, new: str, json: bool = False) -> int:
@@ -61,19 +61,19 @@
         if loaded.is_error():
             return echo_invalid(loaded.error, json)
     changes = diff_manifests(before.ok.manifest, after.ok.manifest)
-    return _echo(DiffReport(0, changes), json)
+    return _echo_diff(DiffReport(0, changes), json)
 
 
-async def _read_accepted(platform: Platform) -> Result[Base, StepError]:
+async def _read_accepted(platform: Platform) -> Result[AcceptedConfig, StepError]:
     current = await read_head_row(platform)
     if current.is_error():
         return Error(current.error)
     head = current.ok[1]
     content = await read_manifest(platform, head)
-    return content.map(lambda manifest: Base(head.version, manifest))
+    return content.map(lambda manifest: AcceptedConfig(head.version, manifest))
 
 
-def _echo(report: DiffReport, json: bool) -> ExitCode:
+def _echo_diff(report: DiffReport, json: bool) -> ExitCode:
     if json:
         echo_json(report)
     elif report.changes.sorted_by_path():
--- a/bergamotcourse/commands/drain.py
+++ b/bergamotcourse/commands/drain.py
@@ -1,4 +1,4 @@
-"""``drain``: take something out of service as a change of the configuration."""
+"""``drain``: take something out of service by a configuration change."""
 
 from dataclasses import dataclass, field
 from functools import partial
@@ -8,10 +8,10 @@
 from expression import Result
 
 from bergamotcourse.commands.admin_client import read_statuses, read_token
-from bergamotcourse.commands.announce import announced
+from bergamotcourse.commands.announce import with_announcement
 from bergamotcourse.commands.connect import Opener, call_platform, open_platform
 from bergamotcourse.commands.exit_codes import ExitCode
-from bergamotcourse.commands.output import echo_accepted, echo_error
+from bergamotcourse.commands.output import echo_apply_outcome, echo_error
 from bergamotcourse.commands.status import exit_code
 from bergamotcourse.coordination.config_store import ApplyOutcome, LostRace
 from bergamotcourse.coordination.drain_changes import add_drain, cancel_drain
@@ -21,23 +21,23 @@
 from bergamotcourse.protocol.status import EntryStatus
 from bergamotcourse.state.manifest import Drain
 
-POLL_SECONDS = 0.5
+PROGRESS_POLL_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
-class DrainOrder:
-    """What the command is told.
+class DrainOptions:
+    """Options of the command.
 
     Attributes:
         platform: Address of the platform, ``IP:PORT``.
-        who: Who makes the change, for the audit trail.
-        reason: Why, for the audit trail.
-        cancel: Cancel the drain instead.
-        entries: Addresses of admin listeners, whose status tells load and progress.
-        token_file: Where the bearer token is; ``None`` for the environment.
-        wait_seconds: Wait for so long until nothing runs there; 0 for no wait.
-        force: Drain also where what remains cannot carry the load.
-        dry_run: Change nothing.
+        who: Author of the change, for the audit trail.
+        reason: Reason for the change, for the audit trail.
+        cancel: Cancel the drain instead of starting it.
+        entries: Addresses of admin listeners, queried for load and progress.
+        token_file: File with the bearer token; ``None`` for the environment.
+        wait_seconds: Longest wait until no task runs there; 0 for no wait.
+        force: Drain even if the remaining slots cannot carry the load.
+        dry_run: Compare only; write nothing.
     """
 
     drain: Drain
@@ -53,101 +53,109 @@
     json: bool = False
 
 
-def drain(order: DrainOrder, opener: Opener = open_platform) -> int:
-    """Drain or cancel a drain; return the exit code."""
+def drain(options: DrainOptions, opener: Opener = open_platform) -> int:
+    """Start or cancel a drain; return the exit code."""
     token = ""
-    if order.entries:
-        read = read_token(order.token_file)
+    if options.entries:
+        read = read_token(options.token_file)
         if read.is_error():
-            return echo_error(read.error, order.json)
+            return echo_error(read.error, options.json)
         token = read.ok
-    if not order.cancel:
-        refusal = _check_load(order, token)
+    if not options.cancel:
+        refusal = _check_load(options, token)
         if refusal is not ExitCode.OK:
             return refusal
-    change = announced(order.platform, partial(_change, order))
-    accepted = call_platform(order.platform, opener, change)
-    code = echo_accepted(accepted, order.json)
-    waits = order.wait_seconds and order.entries and not order.dry_run
-    if code is not ExitCode.OK or not waits or isinstance(accepted.ok, LostRace):
+    change = with_announcement(options.platform, partial(_apply_change, options))
+    accepted = call_platform(options.platform, opener, change)
+    code = echo_apply_outcome(accepted, options.json)
+    should_wait = options.wait_seconds and options.entries and not options.dry_run
+    if code is not ExitCode.OK or not should_wait or isinstance(accepted.ok, LostRace):
         return code
-    return trio.run(_wait, order, token, accepted.ok.version)
+    return trio.run(_wait_until_done, options, token, accepted.ok.version)
 
 
-async def _change(
-    order: DrainOrder, platform: Platform
+async def _apply_change(
+    options: DrainOptions, platform: Platform
 ) -> Result[ApplyOutcome, StepError]:
-    change = cancel_drain if order.cancel else add_drain
-    return await change(platform, order.drain, order.who, order.reason, order.dry_run)
+    change = cancel_drain if options.cancel else add_drain
+    return await change(
+        platform, options.drain, options.who, options.reason, options.dry_run
+    )
 
 
-def _check_load(order: DrainOrder, token: str) -> ExitCode:
-    """Refuse a drain that leaves too little, as far as the entries can tell."""
-    if not order.entries:
-        _say("warning: no --entry given, so the load was not checked")
+def _check_load(options: DrainOptions, token: str) -> ExitCode:
+    """Refuse a drain whose remaining slots cannot carry the reported load."""
+    if not options.entries:
+        _echo_stderr("warning: no --entry given, so the load was not checked")
         return ExitCode.OK
-    replies = trio.run(read_statuses, order.entries, token)
+    replies = trio.run(read_statuses, options.entries, token)
     for reply in replies:
         if reply.result.is_error():
-            _say(f"error: {reply.result.error}")
+            _echo_stderr(f"error: {reply.result.error}")
     code = exit_code(replies)
-    if code is not ExitCode.OK and not order.force:
-        _say("the load could not be checked; nothing was drained (see --force)")
+    if code is not ExitCode.OK and not options.force:
+        _echo_stderr("the load could not be checked; nothing was drained (see --force)")
         return code
     entries = [reply.result.ok for reply in replies if reply.result.is_ok()]
-    return _judge(order, drain_progress(order.drain, entries))
+    return _check_remaining_capacity(options, drain_progress(options.drain, entries))
 
 
-def _judge(order: DrainOrder, progress: DrainProgress) -> ExitCode:
+def _check_remaining_capacity(
+    options: DrainOptions, progress: DrainProgress
+) -> ExitCode:
     if not progress.covered:
-        _say(f"warning: no upstream known now is in {_name(order.drain)}")
-    for one in progress.overloaded:
-        _say(
-            f"warning: {one.service} has {one.load} tasks now, and {one.slots} slots"
-            " would remain"
+        _echo_stderr(
+            f"warning: no upstream known now is in {_drain_label(options.drain)}"
         )
-    if progress.overloaded and not order.force:
-        _say("nothing was drained; give --force to drain anyway")
+    for overload in progress.overloaded:
+        _echo_stderr(
+            f"warning: {overload.service} has {overload.load} tasks now, and"
+            f" {overload.slots} slots would remain"
+        )
+    if progress.overloaded and not options.force:
+        _echo_stderr("nothing was drained; give --force to drain anyway")
         return ExitCode.OVERLOAD
     return ExitCode.OK
 
 
-async def _wait(order: DrainOrder, token: str, version: int) -> ExitCode:
-    """Show the progress until the change is in force and nothing runs there."""
+async def _wait_until_done(options: DrainOptions, token: str, version: int) -> ExitCode:
+    """Show progress until the change is in force and no task runs there."""
     last = ""
-    with trio.move_on_after(order.wait_seconds):
+    with trio.move_on_after(options.wait_seconds):
         while True:
-            replies = await read_statuses(order.entries, token)
+            replies = await read_statuses(options.entries, token)
             entries = [reply.result.ok for reply in replies if reply.result.is_ok()]
-            line, done = _describe(order, entries, version)
+            line, done = _describe_progress(options, entries, version)
             if line != last:
-                _say(line)
+                _echo_stderr(line)
                 last = line
             if done:
                 return ExitCode.OK
-            await trio.sleep(POLL_SECONDS)
-    _say(f"not done after {order.wait_seconds:g} s; the change stays in force")
+            await trio.sleep(PROGRESS_POLL_SECONDS)
+    _echo_stderr(
+        f"not done after {options.wait_seconds:g} s; the change stays in force"
+    )
     return ExitCode.TIMED_OUT
 
 
-def _describe(
-    order: DrainOrder, entries: list[EntryStatus], version: int
+def _describe_progress(
+    options: DrainOptions, entries: list[EntryStatus], version: int
 ) -> tuple[str, bool]:
-    """Return the progress in words, and whether the change is done."""
+    """Return a line of progress, and whether the change is complete."""
     informed = sum(1 for entry in entries if entry.config.version >= version)
-    everywhere = informed == len(order.entries)
-    line = f"version {version} in force at {informed} of {len(order.entries)} entries"
-    if order.cancel:
+    everywhere = informed == len(options.entries)
+    line = f"version {version} in force at {informed} of {len(options.entries)} entries"
+    if options.cancel:
         return line, everywhere
-    progress = drain_progress(order.drain, entries)
+    progress = drain_progress(options.drain, entries)
     count = len(progress.covered)
     line += f"; {progress.running} tasks run at {count} upstreams"
     return line, everywhere and not progress.running
 
 
-def _name(drain: Drain) -> str:
+def _drain_label(drain: Drain) -> str:
     return f"{drain.kind.value} {drain.name}"
 
 
-def _say(line: str) -> None:
+def _echo_stderr(line: str) -> None:
     click.echo(line, err=True)
--- a/bergamotcourse/commands/manifest_file.py
+++ b/bergamotcourse/commands/manifest_file.py
@@ -1,4 +1,4 @@
-"""Reading of the manifest that a command names."""
+"""Reads the manifest file named on the command line."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 
 
 def read_manifest_file(path: str) -> Result[ParsedManifest, list[Issue]]:
-    """Return the manifest of a file, or of stdin for ``-``."""
+    """Read and parse a manifest file, or stdin for ``-``."""
     if path == STDIN:
         return parse_manifest(read_stdin(), "stdin")
     return read_text(path).bind(lambda text: parse_manifest(text, Path(path).name))
--- a/bergamotcourse/commands/output.py
+++ b/bergamotcourse/commands/output.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class ErrorReport:
-    """Why a command failed, as JSON."""
+    """Error of a command, as JSON."""
 
     error: str
     step: str
@@ -38,7 +38,7 @@
 
 
 def echo_issues(issues: list[Issue], json: bool) -> None:
-    """Write issues; as text, they go to stderr."""
+    """Write issues as JSON to stdout or as text to stderr."""
     if json:
         echo_json(issues)
         return
@@ -47,7 +47,7 @@
 
 
 def echo_invalid(issues: list[Issue], json: bool) -> ExitCode:
-    """Write why a file is refused."""
+    """Write the issues of an invalid file and return the exit code for it."""
     echo_issues(issues, json)
     if not json:
         click.echo(f"{len(errors(issues))} errors; nothing was sent", err=True)
@@ -55,7 +55,7 @@
 
 
 def echo_changes(changes: Changes) -> None:
-    """Write changes in words, one a line."""
+    """Write changes as text, one per line."""
     for line in describe_changes(changes):
         click.echo(f"  {line}")
 
@@ -84,8 +84,8 @@
             return ExitCode.NOT_FOUND
 
 
-def echo_accepted(result: Result[ApplyOutcome, StepError], json: bool) -> ExitCode:
-    """Write what became of a change and return the exit code for it."""
+def echo_apply_outcome(result: Result[ApplyOutcome, StepError], json: bool) -> ExitCode:
+    """Write the outcome of a change and return the exit code for it."""
     if result.is_error():
         code = echo_error(result.error, json)
         if code is ExitCode.IN_DOUBT and not json:
@@ -98,11 +98,11 @@
     if json:
         echo_json(accept_report(result.ok))
     else:
-        _echo_words(result.ok)
+        _echo_outcome_text(result.ok)
     return ExitCode.LOST_RACE if isinstance(result.ok, LostRace) else ExitCode.OK
 
 
-def _echo_words(accepted: ApplyOutcome) -> None:
+def _echo_outcome_text(accepted: ApplyOutcome) -> None:
     match accepted:
         case Applied(version, changes, dry_run):
             verb = "would be accepted" if dry_run else "accepted"
@@ -122,5 +122,5 @@
 
 
 def read_stdin() -> str:
-    """Return the whole of stdin, for a file named ``-``."""
+    """Return all of stdin, the content of a file named ``-``."""
     return sys.stdin.read()
--- a/bergamotcourse/commands/processes.py
+++ b/bergamotcourse/commands/processes.py
@@ -1,4 +1,4 @@
-"""``entry`` and ``agent``: run a daemon; and the stand-ins."""
+"""``entry``, ``agent`` and ``standin``: run a daemon or a stand-in."""
 
 import logging
 
@@ -20,7 +20,7 @@
 
 
 def run_daemon(kind: ProcessKind, path: str) -> int:
-    """Run a daemon by its settings file; return the exit code."""
+    """Run a daemon with a settings file; return the exit code."""
     logging.basicConfig(level=logging.WARNING)
     match load_settings(path, kind):
         case Result(tag="ok", ok=loaded):
@@ -29,25 +29,27 @@
             echo_issues(issues, False)
             return ExitCode.INVALID
     tune_garbage_collector()
-    return _run(RUNNERS[kind], loaded.settings)
+    return _run_program(RUNNERS[kind], loaded.settings)
 
 
 def run_platform(host: str, port: int) -> int:
-    """Run the platform's stand-in; return the exit code."""
-    return _run(serve_platform, host, port)
+    """Run the stand-in for the platform; return the exit code."""
+    return _run_program(serve_platform, host, port)
 
 
 def run_upstream(
     name: str, service: str, slots: int, host: str, port: int, agent: str
 ) -> int:
-    """Run an upstream's stand-in; return the exit code."""
+    """Run a stand-in for an upstream; return the exit code."""
     agent_host, _, agent_port = agent.rpartition(":")
     upstream = StandInUpstream(name, service, slots)
-    return _run(serve_upstream, upstream, host, port, agent_host, int(agent_port))
+    return _run_program(
+        serve_upstream, upstream, host, port, agent_host, int(agent_port)
+    )
 
 
-def _run(main, *arguments) -> int:
-    """Run a program; an error that it is known to meet ends in one line."""
+def _run_program(main, *arguments) -> int:
+    """Run a program; report expected errors on one line."""
     code = ExitCode.OK
     try:
         trio.run(main, *arguments)
@@ -63,7 +65,7 @@
 
 
 def first_error(group: BaseExceptionGroup) -> BaseException:
-    """Return the first error in groups that may be nested."""
+    """Return the first leaf error of an exception group, which may be nested."""
     error: BaseException = group
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
--- a/bergamotcourse/commands/replay.py
+++ b/bergamotcourse/commands/replay.py
@@ -1,4 +1,4 @@
-"""``replay``: compare ways to decide on a load, on a virtual clock."""
+"""``replay``: compare dispatch policies under a load, on a virtual clock."""
 
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
@@ -12,13 +12,13 @@
 from bergamotcourse.commands.exit_codes import ExitCode
 from bergamotcourse.coordination.jobs.policy import SWITCHES, JobPolicy
 
-FULL = "all"
+ALL_MECHANISMS = "all"
 
 
 def replay(
     file: str, without: list[str], seeds: range, jobs: int, plot: str | None
 ) -> int:
-    """Replay a load file under policies, print a table; return the exit code."""
+    """Replay a load file and print a comparison; return the exit code."""
     try:
         compared = policies(without)
     except ValueError as error:
@@ -26,7 +26,7 @@
         return ExitCode.INVALID
     match read_load(file):
         case Result(tag="ok", ok=load):
-            show(load, compared, seeds, jobs, plot)
+            print_comparison(load, compared, seeds, jobs, plot)
             return ExitCode.OK
         case Result(error=issues):
             click.echo("\n".join(str(issue) for issue in issues), err=True)
@@ -34,14 +34,16 @@
 
 
 def policies(without: list[str]) -> dict[str, JobPolicy]:
-    """Return the whole policy, and one without each of the mechanisms named."""
-    names = SWITCHES if without == [FULL] else without
-    rest = {f"without {name}": JobPolicy.without([name]) for name in names}
-    return {FULL: JobPolicy(), **rest}
+    """Return the full policy, and one variant without each named mechanism."""
+    names = SWITCHES if without == [ALL_MECHANISMS] else without
+    variants = {f"without {name}": JobPolicy.without([name]) for name in names}
+    return {ALL_MECHANISMS: JobPolicy(), **variants}
 
 
-def show(load: Load, policies, seeds: range, jobs: int, plot: str | None) -> None:
-    """Replay, and print what came out."""
+def print_comparison(
+    load: Load, policies, seeds: range, jobs: int, plot: str | None
+) -> None:
+    """Replay a load under all policies and print the results."""
     with ProcessPoolExecutor(jobs) as pool:
         rows = compare(load, policies, seeds, pool)
     click.echo(table(rows))
--- a/bergamotcourse/commands/rollback.py
+++ b/bergamotcourse/commands/rollback.py
@@ -1,10 +1,10 @@
-"""``rollback``: bring back the content of an earlier version as a new version."""
+"""``rollback``: restore the content of an earlier version as a new version."""
 
 from expression import Result
 
-from bergamotcourse.commands.announce import announced
+from bergamotcourse.commands.announce import with_announcement
 from bergamotcourse.commands.connect import Opener, call_platform, open_platform
-from bergamotcourse.commands.output import echo_accepted
+from bergamotcourse.commands.output import echo_apply_outcome
 from bergamotcourse.coordination import config_store
 from bergamotcourse.coordination.config_store import ApplyOutcome
 from bergamotcourse.errors import StepError
@@ -22,17 +22,17 @@
     json: bool = False,
     opener: Opener = open_platform,
 ) -> int:
-    """Bring back an earlier version's content; return the exit code.
+    """Restore the content of an earlier version; return the exit code.
 
     Args:
-        to_version: The version whose content comes back.
+        to_version: The version whose content is restored.
         platform: Address of the platform, ``IP:PORT``.
-        who: Who makes the change, for the audit trail.
-        reason: Why, for the audit trail.
+        who: Author of the change, for the audit trail.
+        reason: Reason for the change, for the audit trail.
         reviewed_version: The version that must be the newest; ``None`` for any.
         dry_run: Compare only.
-        json: Write JSON.
-        opener: Opens the platform.
+        json: Write JSON instead of text.
+        opener: Opens the connection to the platform.
     """
     reviewed = None if reviewed_version is None else ConfigVersion(reviewed_version)
 
@@ -41,5 +41,5 @@
             store, ConfigVersion(to_version), who, reason, reviewed, dry_run
         )
 
-    change = announced(platform, run)
-    return echo_accepted(call_platform(platform, opener, change), json)
+    change = with_announcement(platform, run)
+    return echo_apply_outcome(call_platform(platform, opener, change), json)
--- a/bergamotcourse/commands/scenario.py
+++ b/bergamotcourse/commands/scenario.py
@@ -9,11 +9,11 @@
 from bergamotcourse.scenarios.parser import parse
 from bergamotcourse.scenarios.runner import Report, run_scenario
 from bergamotcourse.scenarios.schedules import make_schedule
-from bergamotcourse.scenarios.survey import ANSWERS, run_schedules
+from bergamotcourse.scenarios.survey import ANSWERED_OUTCOMES, run_schedules
 
 
 def scenario(files: list[str], seed: int, verbose: bool) -> int:
-    """Run scenarios and print what did not hold; return the exit code."""
+    """Run scenario files and print their failures; return the exit code."""
     code = ExitCode.OK
     for file in files:
         match parse(Path(file).read_text(), file):
@@ -34,7 +34,7 @@
 
 
 def random_schedules(count: int, seed: int, verbose: bool) -> int:
-    """Run random schedules, print what they showed; return the exit code."""
+    """Run random schedules and print a summary; return the exit code."""
     survey = run_schedules(range(seed, seed + count))
     if verbose:
         click.echo(make_schedule(seed).text)
@@ -44,18 +44,18 @@
             click.echo(f"  {failure}")
     click.echo("schedules  answers  unknown  longest gap  with this fault among others")
     kinds = sorted(survey.kinds.items(), key=lambda pair: pair[0].value)
-    rows = [(kind.value, one) for kind, one in kinds] + [("any", survey.total)]
-    for name, one in rows:
-        answers = sum(one.outcomes[answer] for answer in ANSWERS)
+    rows = [(kind.value, summary) for kind, summary in kinds] + [("any", survey.total)]
+    for name, summary in rows:
+        answers = sum(summary.outcomes[answer] for answer in ANSWERED_OUTCOMES)
         click.echo(
-            f"{one.schedules:9d}  {answers:7d}  {one.unknown_share:7.1%}"
-            f"  {one.longest_gap:9.1f} s  {name}"
+            f"{summary.schedules:9d}  {answers:7d}  {summary.unknown_share:7.1%}"
+            f"  {summary.longest_gap:9.1f} s  {name}"
         )
     return ExitCode.NOT_HELD if survey.failures else ExitCode.OK
 
 
 def echo_records(report: Report) -> None:
-    """Print all answers and all starts."""
+    """Print all answers and all task starts."""
     for submission in report.submissions:
         for copy in submission.copies:
             at = copy.answered_at
--- a/bergamotcourse/commands/status.py
+++ b/bergamotcourse/commands/status.py
@@ -1,4 +1,4 @@
-"""``status``: what entries tell of themselves and of the agents they know."""
+"""``status``: show the status of entries and of the agents they know."""
 
 from dataclasses import dataclass, field
 
@@ -18,16 +18,16 @@
 from bergamotcourse.protocol.drain_progress import newest_agents
 from bergamotcourse.protocol.status import EntryStatus
 
-ENTRY_HEADS = ("ENTRY", "ZONE", "READY", "CONFIG", "LEASE", "RANGES", "AGENTS")
-ENTRY_HEADS += ("QUEUED", "RETRIES", "DONE", "FAILED", "NOT RUN", "UNKNOWN")
-AGENT_HEADS = ("AGENT", "ZONE", "RACK", "WORKER", "HEALTH", "SERVICE", "SLOTS")
-AGENT_HEADS += ("LOAD", "IN FLIGHT")
+ENTRY_COLUMNS = ("ENTRY", "ZONE", "READY", "CONFIG", "LEASE", "RANGES", "AGENTS")
+ENTRY_COLUMNS += ("QUEUED", "RETRIES", "DONE", "FAILED", "NOT RUN", "UNKNOWN")
+AGENT_COLUMNS = ("AGENT", "ZONE", "RACK", "WORKER", "HEALTH", "SERVICE", "SLOTS")
+AGENT_COLUMNS += ("LOAD", "IN FLIGHT")
 OUTCOMES = ("done", "failed", "not_run", "unknown")
 
 
 @dataclass(frozen=True)
 class StatusReport:
-    """The status of the entries that answered, and why the others did not."""
+    """Status of the entries that answered, and errors of the others, as JSON."""
 
     entries: list[EntryStatus] = field(default_factory=list)
     errors: list[ErrorReport] = field(default_factory=list)
@@ -37,9 +37,9 @@
     """Show the status of entries; return the exit code.
 
     Args:
-        addresses: Of the entries' admin listeners, ``IP:PORT``.
-        token_file: Where the bearer token is; ``None`` for the environment.
-        json: Write JSON.
+        addresses: Addresses of the entries' admin listeners, ``IP:PORT``.
+        token_file: File with the bearer token; ``None`` for the environment.
+        json: Write JSON instead of text.
     """
     token = read_token(token_file)
     if token.is_error():
@@ -47,14 +47,14 @@
     replies = trio.run(read_statuses, addresses, token.ok)
     entries = [reply.result.ok for reply in replies if reply.result.is_ok()]
     if json:
-        echo_json(StatusReport(entries, _errors(replies)))
+        echo_json(StatusReport(entries, _error_reports(replies)))
     else:
-        _echo(entries, replies)
+        _echo_status(entries, replies)
     return exit_code(replies)
 
 
 def exit_code(replies: list[StatusReply]) -> ExitCode:
-    """Return the exit code that replies lead to."""
+    """Return the exit code for status replies."""
     failed = [reply.result.error for reply in replies if reply.result.is_error()]
     if any(isinstance(error, ForbiddenError) for error in failed):
         return ExitCode.FORBIDDEN
@@ -62,13 +62,13 @@
 
 
 def describe_entries(entries: list[EntryStatus]) -> str:
-    """Return a table of entries, and one of the agents they know."""
+    """Return a table of entries and a table of the agents they know."""
     rows = [_entry_row(entry) for entry in entries]
     agents = [
         row for agent in newest_agents(entries) for row in _agent_rows(agent, entries)
     ]
     return "\n\n".join(
-        [format_table(ENTRY_HEADS, rows), format_table(AGENT_HEADS, agents)]
+        [format_table(ENTRY_COLUMNS, rows), format_table(AGENT_COLUMNS, agents)]
     )
 
 
@@ -92,7 +92,7 @@
 
 
 def _agent_rows(agent, entries: list[EntryStatus]) -> list[list[object]]:
-    """Return a row for each service; in flight is of all the entries."""
+    """Return a row per service; its in-flight count sums over all entries."""
     health = f"{agent.health} (drained)" if agent.drained else agent.health
     place = [agent.id, agent.zone, agent.rack or "-", agent.worker or "-", health]
     rows = [
@@ -119,14 +119,14 @@
     )
 
 
-def _echo(entries: list[EntryStatus], replies: list[StatusReply]) -> None:
+def _echo_status(entries: list[EntryStatus], replies: list[StatusReply]) -> None:
     if entries:
         click.echo(describe_entries(entries))
-    for report in _errors(replies):
+    for report in _error_reports(replies):
         click.echo(f"error: {report.peer}: {report.error}", err=True)
 
 
-def _errors(replies: list[StatusReply]) -> list[ErrorReport]:
+def _error_reports(replies: list[StatusReply]) -> list[ErrorReport]:
     errors = []
     for reply in replies:
         match reply.result:
--- a/bergamotcourse/commands/submit_file.py
+++ b/bergamotcourse/commands/submit_file.py
@@ -1,4 +1,4 @@
-"""Reading of the job or session request that ``submit`` sends."""
+"""Reads the job or session request that ``submit`` sends."""
 
 import json
 from dataclasses import dataclass
@@ -25,8 +25,8 @@
     """A session request.
 
     Attributes:
-        service: The service that answers it.
-        idempotent: It may be sent again after an unknown outcome.
+        service: The service that handles it.
+        idempotent: Whether it may be retried after an unknown outcome.
     """
 
     service: str = ""
@@ -34,11 +34,11 @@
 
 
 @dataclass(frozen=True)
-class Sending:
-    """What is to be sent, under a key.
+class PreparedRequest:
+    """A request ready to be sent under an idempotency key.
 
     Attributes:
-        job: It is a job, which may be waited for apart from its submission.
+        job: Whether it is a job, whose result can be polled after its submission.
     """
 
     job: bool
@@ -48,14 +48,14 @@
     body: bytes
 
     def request(self, headers: HeaderList) -> HttpRequest:
-        """Return the request with further headers."""
+        """Return the HTTP request with additional headers."""
         return HttpRequest(
             self.method, self.target, [*self.headers, *headers], self.body
         )
 
 
-def read_sending(path: str) -> Result[Sending, str]:
-    """Return what a JSON or YAML file says: a job has ``tasks``."""
+def read_request_file(path: str) -> Result[PreparedRequest, str]:
+    """Read a JSON or YAML file: a job if it has ``tasks``, else a session request."""
     text = read_text(path)
     if text.is_error():
         return Error(str(text.error[0]))
@@ -63,11 +63,11 @@
     if data.is_error():
         return Error("; ".join(str(issue) for issue in data.error))
     if isinstance(data.ok, dict) and "tasks" in data.ok:
-        return _job(data.ok)
-    return _session(data.ok)
+        return _prepare_job(data.ok)
+    return _prepare_session(data.ok)
 
 
-def _job(data: dict[str, Any]) -> Result[Sending, str]:
+def _prepare_job(data: dict[str, Any]) -> Result[PreparedRequest, str]:
     body = json.dumps(data, default=str).encode()
     parsed = parse_job(body)
     if parsed.is_error():
@@ -78,10 +78,10 @@
         if checked.is_error():
             return Error(f"task {index}: {checked.error}")
     headers = [("content-type", "application/json")]
-    return Ok(Sending(True, JOBS_TARGET, "POST", headers, body))
+    return Ok(PreparedRequest(True, JOBS_TARGET, "POST", headers, body))
 
 
-def _session(data: object) -> Result[Sending, str]:
+def _prepare_session(data: object) -> Result[PreparedRequest, str]:
     try:
         session = msgspec.convert(data, SessionBody)
     except msgspec.ValidationError as error:
@@ -96,4 +96,4 @@
     if session.idempotent is not None:
         headers.append(("idempotent", "?1" if session.idempotent else "?0"))
     target = f"{SESSION_TARGET}{session.service}{task.target}"
-    return Ok(Sending(False, target, task.method, headers, task.body))
+    return Ok(PreparedRequest(False, target, task.method, headers, task.body))
--- a/bergamotcourse/commands/table.py
+++ b/bergamotcourse/commands/table.py
@@ -1,16 +1,16 @@
-"""Tables of text for people."""
+"""Text tables."""
 
 from collections.abc import Sequence
 
-GAP = "  "
+COLUMN_GAP = "  "
 
 
-def format_table(heads: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
+def format_table(headers: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
     """Return a table whose columns are as wide as their widest cell."""
-    cells = [[str(cell) for cell in row] for row in [heads, *rows]]
-    widths = [max(len(row[place]) for row in cells) for place in range(len(heads))]
+    cells = [[str(cell) for cell in row] for row in [headers, *rows]]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(headers))]
     return "\n".join(
-        GAP.join(
+        COLUMN_GAP.join(
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
         ).rstrip()
         for row in cells
--- a/bergamotcourse/commands/validate.py
+++ b/bergamotcourse/commands/validate.py
@@ -1,4 +1,4 @@
-"""``validate``: check a manifest or a settings file without the platform."""
+"""``validate``: check a manifest or settings file without the platform."""
 
 import click
 
@@ -13,17 +13,17 @@
 
 
 def validate(file: str, json: bool = False) -> int:
-    """Check a manifest; return the exit code."""
+    """Check a manifest file; return the exit code."""
     loaded = read_manifest_file(file)
     if loaded.is_error():
         return echo_invalid(loaded.error, json)
-    found = digest(loaded.ok.manifest)
-    _echo_valid(file, found, loaded.ok.warnings, json)
+    manifest_digest = digest(loaded.ok.manifest)
+    _echo_valid(file, manifest_digest, loaded.ok.warnings, json)
     return ExitCode.OK
 
 
 def validate_settings(file: str, kind: ProcessKind, json: bool = False) -> int:
-    """Check the settings of a process; return the exit code."""
+    """Check the settings file of a process; return the exit code."""
     loaded = load_settings(file, kind)
     if loaded.is_error():
         return echo_invalid(loaded.error, json)
@@ -37,10 +37,12 @@
     return ExitCode.OK
 
 
-def _echo_valid(file: str, found: str, warnings: list[Issue], json: bool) -> None:
+def _echo_valid(
+    file: str, manifest_digest: str, warnings: list[Issue], json: bool
+) -> None:
     if json:
-        echo_json(ValidReport(found, warnings))
+        echo_json(ValidReport(manifest_digest, warnings))
         return
     echo_issues(warnings, json)
-    mark = f", digest {found}" if found else ""
-    click.echo(f"{file}: valid{mark}")
+    suffix = f", digest {manifest_digest}" if manifest_digest else ""
+    click.echo(f"{file}: valid{suffix}")
--- a/bergamotcourse/scenarios/__init__.py
+++ b/bergamotcourse/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""A small language of scenarios: what happens to a fleet, and what must hold then."""
+"""A small scenario language: faults and requests on a fleet, and expectations."""
--- a/bergamotcourse/scenarios/callers.py
+++ b/bergamotcourse/scenarios/callers.py
@@ -1,4 +1,4 @@
-"""The callers of a scenario: what they submit, and what they are answered."""
+"""The callers of a scenario: their submissions and the answers they receive."""
 
 import random
 import uuid
@@ -18,26 +18,26 @@
 from bergamotcourse.virtual.fleet import SERVICE, TOKEN, UNIX_MS, VirtualFleet
 
 TEAM = TeamId("barakaldo")
-KEY_TRIES = 2_000
+MAX_KEY_ATTEMPTS = 2_000
 
 LOST = "lost"
-"""The connection was lost, or could not be made: the caller knows nothing."""
+"""The connection failed or was lost: the caller knows no outcome."""
 
 REFUSED = "refused"
-"""An answer that names no outcome."""
+"""The answer carries no outcome."""
 
 GONE = "gone"
-"""The caller went away."""
+"""The caller disconnected before an answer."""
 
 
 @dataclass
 class Copy:
-    """One copy of a submission: a request of a caller, and its answer.
+    """One copy of a submission: one request of a caller, and its answer.
 
     Attributes:
-        decided_at: When the entry had the answer.
-        answered_at: When the caller had it.
-        scope: Cancelled when the caller goes away.
+        decided_at: When the entry had decided the answer, in seconds of virtual time.
+        answered_at: When the caller received the answer or lost the connection.
+        scope: Cancelled when the caller disconnects.
     """
 
     label: str
@@ -56,12 +56,12 @@
         return self.response.body if self.response else b""
 
     def header(self, name: str) -> str:
-        """Return a field of the answer, or nothing."""
+        """Return a header of the answer, or ``""`` if it is absent."""
         headers = self.response.headers if self.response else []
         return next((value for key, value in headers if key == name), "")
 
     def problem(self) -> Problem | None:
-        """Return the problem that the answer tells, if it does."""
+        """Return the problem details of the answer, or ``None``."""
         if "problem+json" not in self.header("content-type"):
             return None
         return msgspec.json.decode(self.body, type=Problem)
@@ -72,7 +72,7 @@
     """One submission and all its copies.
 
     Attributes:
-        tasks: What the upstreams' records call its tasks.
+        tasks: Names of its tasks in the records of the upstreams.
     """
 
     command: Submit
@@ -82,12 +82,12 @@
 
     @property
     def name(self) -> str:
-        """Return its name in the scenario."""
+        """Return the name of the submission in the scenario."""
         return self.command.name
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a task of it may be started more than once."""
+        """Return whether its tasks may be started more than once."""
         return self.command.key is KeyKind.NONE and self.command.idempotent
 
 
@@ -103,7 +103,7 @@
         self.prefixes: dict[str, str] = {}
 
     def submit(self, command: Submit) -> None:
-        """Submit something new."""
+        """Send a new submission."""
         names = [f"{command.name}.{n}" for n in range(command.tasks)]
         key = self._make_key(command)
         submission = Submission(command, key, names or [command.name])
@@ -111,17 +111,17 @@
         self._send(submission, command.via, command.name)
 
     def resubmit(self, name: str, via: str, label: str) -> None:
-        """Submit another copy."""
+        """Send another copy of a submission under the same key."""
         submission = self.submissions[name]
         label = label or f"{name}/{len(submission.copies) + 1}"
         self._send(submission, via, label)
 
     def disconnect(self, label: str) -> None:
-        """Let the caller of a copy go away."""
+        """Disconnect the caller of a copy."""
         self.copies[label].scope.cancel()
 
     def cancel(self, name: str, via: str) -> None:
-        """Ask an entry to cancel a job."""
+        """Request the cancellation of a job from an entry."""
         target = f"/v1/jobs/{self.submissions[name].key}"
         request = HttpRequest("DELETE", target)
         self.nursery.start_soon(self.fleet.call, via, request)
@@ -188,27 +188,30 @@
 
     def _uuid7(self) -> str:
         made_ms = UNIX_MS + int(trio.current_time() * 1000)
-        low = self.rng.getrandbits(80)
-        value = (made_ms << 80) | low
+        random_bits = self.rng.getrandbits(80)
+        value = (made_ms << 80) | random_bits
         value = (value & ~(0xF << 76)) | (7 << 76)
         value = (value & ~(0x3 << 62)) | (2 << 62)
         return str(uuid.UUID(int=value))
 
     def _opaque_key(self, command: Submit) -> str:
-        """Return a key that the wanted entry owns, or any if it owns none."""
-        for number in range(KEY_TRIES):
+        """Return a key whose range ``key_owner`` owns, or any key if none is found."""
+        for number in range(MAX_KEY_ATTEMPTS):
             key = f"{command.name}-{number}"
-            if not command.key_owner or self._owner(key) == command.key_owner:
+            if (
+                not command.key_owner
+                or self._opaque_key_owner(key) == command.key_owner
+            ):
                 return key
         return command.name
 
-    def _owner(self, key: str) -> str:
+    def _opaque_key_owner(self, key: str) -> str:
         """Return the name of the entry that owns the range of an opaque key."""
         return owner_name(self.fleet, hashed_range(submission_id(TEAM, key)))
 
 
 def owner_name(fleet: VirtualFleet, range_id: int) -> str:
-    """Return the name of the entry that owns a range by the platform's table."""
+    """Return the entry that owns a range according to the platform's table."""
     row = fleet.platform.table.get(range_key(range_id))
     if row.value is None:
         return ""
--- a/bergamotcourse/scenarios/checker.py
+++ b/bergamotcourse/scenarios/checker.py
@@ -1,4 +1,4 @@
-"""What must always hold, checked over the records of the upstreams and callers."""
+"""Checks the invariants over the records of the upstreams and callers."""
 
 from dataclasses import dataclass
 
@@ -14,8 +14,8 @@
 
 
 @dataclass(frozen=True)
-class StartSeen:
-    """A start as an upstream's record has it."""
+class RecordedStart:
+    """The start of a task, as recorded by its upstream."""
 
     task: str
     at: float
@@ -23,71 +23,75 @@
 
 
 @dataclass(frozen=True)
-class TaskFate:
-    """What a copy's answer says of one task."""
+class ReportedTaskOutcome:
+    """The outcome that the answer to a copy reports for one task."""
 
     task: str
     outcome: str
 
 
 class Checker:
-    """Checks all submissions against all starts."""
+    """Checks the answers of all submissions against all recorded starts."""
 
-    def __init__(self, submissions: list[Submission], starts: list[StartSeen]):
+    def __init__(self, submissions: list[Submission], starts: list[RecordedStart]):
         self.submissions = submissions
-        self.starts: dict[str, list[StartSeen]] = {}
+        self.starts: dict[str, list[RecordedStart]] = {}
         for start in starts:
             self.starts.setdefault(start.task, []).append(start)
 
-    def findings(self, at_end: bool) -> list[str]:
-        """Return all that should not be, one line each.
+    def find_violations(self, at_end: bool) -> list[str]:
+        """Return all violated invariants, one line each.
 
         Args:
-            at_end: Also report copies that have no answer yet.
+            at_end: Whether copies without an answer count as violations.
         """
-        found: list[str] = []
+        violations: list[str] = []
         for submission in self.submissions:
-            found += self._doubled(submission)
-            found += self._unequal(submission)
+            violations += self._find_duplicate_starts(submission)
+            violations += self._find_differing_answers(submission)
             for copy in submission.copies:
                 if copy.answered_at is None:
                     if at_end:
-                        found.append(f"{copy.label}: no answer")
+                        violations.append(f"{copy.label}: no answer")
                     continue
-                found += self._falsely_told(submission, copy)
-                found += self._foreign(submission, copy)
-        return found
+                violations += self._find_wrong_outcomes(submission, copy)
+                violations += self._find_wrong_content(submission, copy)
+        return violations
 
-    def times(self, task: str) -> list[float]:
-        """Return when a task was started."""
+    def start_times(self, task: str) -> list[float]:
+        """Return the times at which a task was started."""
         return [start.at for start in self.starts.get(task, [])]
 
-    def _doubled(self, submission: Submission) -> list[str]:
+    def _find_duplicate_starts(self, submission: Submission) -> list[str]:
         if submission.repeatable:
             return []
         return [
-            f"{task}: doubled, started at {_where(self.starts[task])}"
+            f"{task}: doubled, started at {_format_starts(self.starts[task])}"
             for task in submission.tasks
-            if len(self.times(task)) > 1
+            if len(self.start_times(task)) > 1
         ]
 
-    def _falsely_told(self, submission: Submission, copy: Copy) -> list[str]:
-        found = []
-        for fate in _fates(submission, copy):
-            times = [t for t in self.times(fate.task) if t <= copy.decided_at]
-            if fate.outcome in (DONE, FAILED) and not times:
-                found.append(f"{copy.label}: {fate.task} {fate.outcome}, never started")
-            if fate.outcome == NOT_RUN:
-                found += self._falsely_not_run(submission, copy, fate.task)
-        return found
-
-    def _falsely_not_run(
+    def _find_wrong_outcomes(self, submission: Submission, copy: Copy) -> list[str]:
+        violations = []
+        for reported in _reported_outcomes(submission, copy):
+            times = [t for t in self.start_times(reported.task) if t <= copy.decided_at]
+            if reported.outcome in (DONE, FAILED) and not times:
+                violations.append(
+                    f"{copy.label}: {reported.task} {reported.outcome}, never started"
+                )
+            if reported.outcome == NOT_RUN:
+                violations += self._find_starts_despite_not_run(
+                    submission, copy, reported.task
+                )
+        return violations
+
+    def _find_starts_despite_not_run(
         self, submission: Submission, copy: Copy, task: str
     ) -> list[str]:
-        """Return the starts of a task that a copy was told had none.
+        """Return the starts that contradict the outcome not_run of a task.
 
-        A start after the answer is another copy's, if one was open at the answer or
-        was submitted later.
+        A start after the answer belongs to another copy, if one was open at the answer
+        or was submitted later.
         """
         others = [
             other
@@ -95,32 +99,40 @@
             if other is not copy and _is_open_after(other, copy.decided_at)
         ]
         return [
-            f"{copy.label}: falsely not run, {task} started at {time:.3f}, answer"
+            f"{copy.label}: reported not_run, but {task} started at {time:.3f}, answer"
             f" at {copy.decided_at:.3f}"
-            for time in self.times(task)
+            for time in self.start_times(task)
             if time <= copy.decided_at or not others
         ]
 
-    def _foreign(self, submission: Submission, copy: Copy) -> list[str]:
-        """Return what in an answer is not of its own request."""
+    def _find_wrong_content(self, submission: Submission, copy: Copy) -> list[str]:
+        """Report an answer whose content does not belong to its own request."""
         if copy.outcome != DONE:
             return []
         if not submission.command.tasks:
-            whole = copy.body.decode().endswith(f" {submission.name}")
-            return [] if whole else [f"{copy.label}: foreign answer {copy.body!r}"]
-        return [] if is_whole(submission, copy) else [f"{copy.label}: not whole"]
-
-    def _unequal(self, submission: Submission) -> list[str]:
+            matches = copy.body.decode().endswith(f" {submission.name}")
+            return (
+                []
+                if matches
+                else [f"{copy.label}: answer of another request {copy.body!r}"]
+            )
+        return (
+            []
+            if has_all_results(submission, copy)
+            else [f"{copy.label}: results missing or out of order"]
+        )
+
+    def _find_differing_answers(self, submission: Submission) -> list[str]:
         done = [copy for copy in submission.copies if copy.outcome == DONE]
         return [
-            f"{copy.label}: another answer than {done[0].label}"
+            f"{copy.label}: answer differs from that of {done[0].label}"
             for copy in done[1:]
             if copy.body != done[0].body and not submission.repeatable
         ]
 
 
-def is_whole(submission: Submission, copy: Copy) -> bool:
-    """Return whether a job's answer holds each task's result, in order."""
+def has_all_results(submission: Submission, copy: Copy) -> bool:
+    """Return whether a job's answer holds the result of each task, in order."""
     if copy.outcome != DONE:
         return False
     answer = msgspec.json.decode(copy.body, type=AnswerBody)
@@ -132,17 +144,17 @@
     return copy.outcome == GONE or copy.decided_at is None or copy.decided_at > time
 
 
-def _fates(submission: Submission, copy: Copy) -> list[TaskFate]:
+def _reported_outcomes(submission: Submission, copy: Copy) -> list[ReportedTaskOutcome]:
     if copy.decided_at is None or copy.outcome == "refused":
         return []
     problem = copy.problem()
     if problem is not None and problem.tasks:
         return [
-            TaskFate(submission.tasks[told.index], told.outcome.value)
-            for told in problem.tasks
+            ReportedTaskOutcome(submission.tasks[result.index], result.outcome.value)
+            for result in problem.tasks
         ]
-    return [TaskFate(task, copy.outcome) for task in submission.tasks]
+    return [ReportedTaskOutcome(task, copy.outcome) for task in submission.tasks]
 
 
-def _where(starts: list[StartSeen]) -> str:
+def _format_starts(starts: list[RecordedStart]) -> str:
     return ", ".join(f"{start.at:.3f} at {start.agent}" for start in starts)
--- a/bergamotcourse/scenarios/commands.py
+++ b/bergamotcourse/scenarios/commands.py
@@ -1,17 +1,17 @@
-"""The commands of a scenario, one data class for each."""
+"""The commands of the scenario language, one data class each."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class KeyKind(Enum):
-    """How a caller names its submission.
+    """Kind of idempotency key of a submission.
 
     Attributes:
-        NONE: Not at all.
-        OPAQUE: By a key that says nothing.
-        UUID7: By a key that carries the time at which it was made.
-        HANDED_OUT: By a key under a prefix that an entry handed out.
+        NONE: No key.
+        OPAQUE: A key without structure.
+        UUID7: A key that carries its creation time.
+        HANDED_OUT: A key under a prefix that an entry handed out.
     """
 
     NONE = "none"
@@ -21,7 +21,7 @@
 
 
 class When(Enum):
-    """Whether a trap acts before or after its message leaves."""
+    """Whether a trap triggers before or after its message is sent."""
 
     BEFORE = "before"
     AFTER = "after"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Fleet:
-    """The size and the times of the fleet; only as the first command."""
+    """Size and intervals (in seconds) of the fleet; allowed only as first command."""
 
     entries: int = 3
     agents: int = 5
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Network:
-    """Faults of the whole network: shares of payloads, and seconds."""
+    """Faults of the whole network: shares of payloads, and delays in seconds."""
 
     loss: float = 0.0
     duplicate: float = 0.0
@@ -57,8 +57,8 @@
 
     Attributes:
         tasks: Number of tasks of a job; 0 for a session request.
-        key_owner: An entry: which prefix is used, or who owns an opaque key.
-        run: Seconds that each task takes.
+        key_owner: The entry whose prefix is used, or that owns an opaque key.
+        run: Seconds that each task runs.
         timeout: Seconds until the caller's deadline.
     """
 
@@ -74,10 +74,10 @@
 
 @dataclass(frozen=True)
 class Resubmit:
-    """A caller submits the same again under the same key.
+    """A caller retransmits a submission under the same key.
 
     Attributes:
-        label: Names this copy.
+        label: Name of this copy; ``""`` for a default one.
     """
 
     name: str
@@ -95,14 +95,14 @@
 
 @dataclass(frozen=True)
 class Disconnect:
-    """The caller of a copy goes away."""
+    """The caller of a copy disconnects."""
 
     label: str
 
 
 @dataclass(frozen=True)
 class Start:
-    """A process starts, or starts again after its end."""
+    """A process starts, or restarts after its end."""
 
     process: str
 
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True)
 class Kill:
-    """A process dies."""
+    """A process is killed."""
 
     process: str
 
@@ -130,14 +130,14 @@
 
 @dataclass(frozen=True)
 class Thaw:
-    """A paused process goes on."""
+    """A paused process continues."""
 
     process: str
 
 
 @dataclass(frozen=True)
 class Cut:
-    """What one process sends to another is lost, in one direction or in both."""
+    """Messages between two processes are lost, in one direction or in both."""
 
     sender: str
     receiver: str
@@ -146,19 +146,19 @@
 
 @dataclass(frozen=True)
 class CutFromStore:
-    """A process does not reach the platform."""
+    """A process cannot reach the platform."""
 
     process: str
 
 
 @dataclass(frozen=True)
 class HealNetwork:
-    """All processes reach each other and the platform again."""
+    """All processes can reach each other and the platform again."""
 
 
 @dataclass(frozen=True)
 class SlowUpstream:
-    """An upstream takes so many times as long."""
+    """An upstream is slowed down by a factor."""
 
     agent: str
     factor: float
@@ -173,54 +173,58 @@
 
 @dataclass(frozen=True)
 class MendUpstream:
-    """An upstream works as it should again."""
+    """An upstream recovers from slowness and failure."""
 
     agent: str
 
 
 @dataclass(frozen=True)
 class Drain:
-    """An upstream tells its agent that it leaves."""
+    """An upstream notifies its agent that it is leaving."""
 
     agent: str
 
 
 @dataclass(frozen=True)
 class Outage:
-    """The platform is down."""
+    """The platform is unavailable."""
 
 
 @dataclass(frozen=True)
 class SlowStore:
-    """Each call to the platform takes so many seconds."""
+    """Each call to the platform is delayed by some seconds."""
 
     seconds: float
 
 
 @dataclass(frozen=True)
 class HealStore:
-    """The platform works as it should again."""
+    """The platform recovers from all its faults."""
 
 
 @dataclass(frozen=True)
 class LoseAnswers:
-    """Writes take effect but their answers are lost: all, or the next so many."""
+    """Writes take effect but their answers are lost.
+
+    Attributes:
+        count: Number of answers to lose; 0 for all.
+    """
 
     count: int = 0
 
 
 @dataclass(frozen=True)
 class LoseCalls:
-    """This share of calls is lost with unknown outcome."""
+    """A share of the calls to the platform is lost, with unknown outcome."""
 
     share: float
 
 
 @dataclass(frozen=True)
 class JumpClock:
-    """The wall clock of a process's host is wrong by so many seconds.
+    """The wall clock of a process's host is off by some seconds.
 
-    Processes read it at their start.
+    Processes read the wall clock at their start.
     """
 
     process: str
@@ -229,7 +233,7 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """An operator has a manifest accepted that gives the team this weight."""
+    """An operator applies a manifest with another weight of the team."""
 
     weight: float
 
@@ -243,7 +247,7 @@
 
 @dataclass(frozen=True)
 class WaitFor:
-    """Time passes until a copy is answered, or so many seconds."""
+    """Time passes until a copy is answered, or at most some seconds."""
 
     label: str
     seconds: float = 120.0
@@ -251,7 +255,7 @@
 
 @dataclass(frozen=True)
 class Trap:
-    """A command that is carried out when a process sends a kind of message next."""
+    """A command that is executed when a process next sends a kind of message."""
 
     when: When
     process: str
@@ -261,7 +265,7 @@
 
 @dataclass(frozen=True)
 class LoseNext:
-    """The next payload of a process with a kind of message is lost."""
+    """The next payload of a process that holds a kind of message is lost."""
 
     process: str
     message: str
@@ -269,12 +273,12 @@
 
 @dataclass(frozen=True)
 class Disarm:
-    """Traps that were not sprung are taken away."""
+    """All traps that were not triggered are removed."""
 
 
 @dataclass(frozen=True)
 class ExpectOutcome:
-    """A copy is answered with one of these outcomes, in time where one is given."""
+    """A copy is answered with one of some outcomes within some seconds."""
 
     label: str
     outcomes: frozenset[str]
@@ -283,7 +287,7 @@
 
 @dataclass(frozen=True)
 class ExpectStarts:
-    """Each task of a submission was started so often."""
+    """Each task of a submission was started ``count`` times."""
 
     name: str
     count: int
@@ -291,7 +295,7 @@
 
 @dataclass(frozen=True)
 class ExpectEqual:
-    """Two copies have the same answer."""
+    """Two copies receive the same answer."""
 
     label: str
     other: str
@@ -314,7 +318,7 @@
 
 @dataclass(frozen=True)
 class ExpectNoWork:
-    """So many seconds after it began to leave, an agent got no new work."""
+    """An agent starts no task later than some seconds after it began to leave."""
 
     agent: str
     seconds: float
@@ -322,7 +326,7 @@
 
 @dataclass(frozen=True)
 class ExpectSound:
-    """What must always hold, holds up to here."""
+    """No invariant has been violated so far."""
 
 
 Fault = (
@@ -375,7 +379,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """A command and the line on which it stands."""
+    """A command and its line in the scenario."""
 
     line: int
     text: str
--- a/bergamotcourse/scenarios/faults.py
+++ b/bergamotcourse/scenarios/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a scenario on a virtual fleet."""
+"""Injects the faults of a scenario into a virtual fleet."""
 
 import trio
 
@@ -12,11 +12,11 @@
 
 
 class Faults:
-    """All faults of one scenario.
+    """Injects all faults of one scenario.
 
     Attributes:
-        traps: Wait for their messages.
-        leaving_since: By agent, when it or its upstream began to leave.
+        traps: Traps that wait for their messages.
+        leaving_since: Times by agent at which it or its upstream began to leave.
     """
 
     def __init__(self, fleet: VirtualFleet, nursery: trio.Nursery):
@@ -24,20 +24,20 @@
         self.nursery = nursery
         self.traps: list[c.Trap | c.LoseNext] = []
         self.leaving_since: dict[str, float] = {}
-        fleet.network.tap = self._tap
+        fleet.network.tap = self._trigger_traps
 
     def process(self, name: str) -> Process:
-        """Return a process by its name."""
+        """Return a process by name."""
         return self.fleet.entries.get(name) or self.fleet.agents[name]
 
-    def carry_out(self, fault: c.Fault) -> None:
-        """Carry out one fault."""
+    def inject(self, fault: c.Fault) -> None:
+        """Inject one fault."""
         fleet = self.fleet
         match fault:
             case c.Start(process=name):
                 self._start(name)
             case c.Stop(process=name):
-                self._note_leaving(name)
+                self._record_leaving(name)
                 self._stop(self.process(name))
             case c.Kill(process=name):
                 self.process(name).kill()
@@ -72,9 +72,9 @@
             case c.JumpClock(process=name, seconds=seconds):
                 fleet.wall_errors[name] = seconds
             case _:
-                self._change_store(fault)
+                self._inject_store_fault(fault)
 
-    def _change_store(self, fault: c.Fault) -> None:
+    def _inject_store_fault(self, fault: c.Fault) -> None:
         faults = self.fleet.platform.faults
         match fault:
             case c.Outage():
@@ -95,9 +95,9 @@
                 faults.drop_calls = 0.0
 
     def _start(self, name: str) -> None:
-        old = self.fleet.entries.get(name) or self.fleet.agents.get(name)
-        if old is not None:
-            old.kill()
+        previous = self.fleet.entries.get(name) or self.fleet.agents.get(name)
+        if previous is not None:
+            previous.kill()
         if name.startswith("entry"):
             self.fleet.start_entry(name)
         else:
@@ -114,36 +114,44 @@
 
     def _drain(self, name: str) -> None:
         agent = self.fleet.agents[name]
-        self._note_leaving(name)
+        self._record_leaving(name)
         agent.upstream.leaving = True
         for upstream in list(agent.agent.upstreams.upstreams.values()):
             agent.agent.mark_upstream_leaving(upstream)
 
-    def _note_leaving(self, name: str) -> None:
+    def _record_leaving(self, name: str) -> None:
         self.leaving_since[name] = trio.current_time()
 
-    def _tap(self, sender: LinkAddress, receiver: LinkAddress, payload: bytes) -> bool:
-        """Spring the traps for a payload that is about to leave."""
+    def _trigger_traps(
+        self, sender: LinkAddress, receiver: LinkAddress, payload: bytes
+    ) -> bool:
+        """Trigger the traps of a payload that is about to be sent.
+
+        Returns:
+            Whether the payload is to be delivered.
+        """
         if not self.traps:
             return True
         kinds = {type(message).__name__ for message in _messages(payload)}
-        passes = True
+        delivered = True
         for trap in list(self.traps):
             if _address(trap.process) != sender or trap.message not in kinds:
                 continue
             self.traps.remove(trap)
             match trap:
                 case c.LoseNext():
-                    passes = False
+                    delivered = False
                 case c.Trap(when=c.When.BEFORE, command=command):
-                    self.carry_out(command)
-                    passes = passes and not self.process(trap.process).ended.is_set()
+                    self.inject(command)
+                    delivered = (
+                        delivered and not self.process(trap.process).ended.is_set()
+                    )
                 case c.Trap(command=command):
-                    self.nursery.start_soon(self._after, command)
-        return passes
+                    self.nursery.start_soon(self._inject_later, command)
+        return delivered
 
-    async def _after(self, command: c.Fault) -> None:
-        self.carry_out(command)
+    async def _inject_later(self, command: c.Fault) -> None:
+        self.inject(command)
 
 
 def _address(name: str) -> LinkAddress:
--- a/bergamotcourse/scenarios/parser.py
+++ b/bergamotcourse/scenarios/parser.py
@@ -1,4 +1,4 @@
-"""From the text of a scenario to its commands."""
+"""Parser of the scenario language."""
 
 import re
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 
 
 class ScenarioError(ValueError):
-    """A line that is no command."""
+    """A line is not a valid command."""
 
 
 def parse(text: str, file: str = "scenario") -> Result[list[c.Step], list[str]]:
-    """Return the steps of a scenario, or all that is wrong with it."""
+    """Return the steps of a scenario, or all of its errors."""
     steps: list[c.Step] = []
-    faults: list[str] = []
+    errors: list[str] = []
     for number, line in enumerate(text.splitlines(), 1):
         content = line.partition("#")[0].strip()
         if not content:
@@ -30,62 +30,64 @@
         try:
             steps.append(c.Step(number, content, parse_line(content)))
         except ScenarioError as error:
-            faults.append(f"{file}:{number}: {error}")
+            errors.append(f"{file}:{number}: {error}")
     for step in steps[1:]:
         if isinstance(step.command, c.Fleet):
-            faults.append(f"{file}:{step.line}: fleet is only for the first line")
-    return Error(faults) if faults else Ok(steps)
+            errors.append(
+                f"{file}:{step.line}: fleet is allowed only as the first command"
+            )
+    return Error(errors) if errors else Ok(steps)
 
 
 def parse_line(line: str) -> c.Command:
-    """Return the command on a line.
+    """Parse the command on a line.
 
     Raises:
-        ScenarioError: The line is no command.
+        ScenarioError: The line is not a valid command.
     """
     trap = re.fullmatch(rf"(before|after) ({PROCESS}) sends (\w+): (.+)", line)
     if trap:
         when, process, message, command = trap.groups()
         _check_message(message)
         return c.Trap(c.When(when), process, message, parse_line(command))
-    verb, _, rest = line.partition(" ")
+    verb, _, arguments = line.partition(" ")
     if verb in OPTION_COMMANDS:
-        return _with_options(OPTION_COMMANDS[verb], rest)
+        return _parse_options(OPTION_COMMANDS[verb], arguments)
     if verb == "submit":
-        return _submit(rest)
-    for pattern, make in PATTERNS:
-        found = re.fullmatch(pattern, line)
-        if found:
-            return make(*found.groups())
-    raise ScenarioError(f"no command: {line!r}")
+        return _parse_submit(arguments)
+    for pattern, build in PATTERNS:
+        matched = re.fullmatch(pattern, line)
+        if matched:
+            return build(*matched.groups())
+    raise ScenarioError(f"unknown command: {line!r}")
 
 
-def _with_options(command: c.Fleet | c.Network, rest: str) -> c.Command:
-    words = rest.split()
+def _parse_options(command: c.Fleet | c.Network, arguments: str) -> c.Command:
+    words = arguments.split()
     if len(words) % 2:
         raise ScenarioError("give pairs of a name and a number")
     known = command.__dataclass_fields__
     options = {}
     for name, value in zip(words[::2], words[1::2], strict=True):
         if name not in known:
-            raise ScenarioError(f"{name!r} is none of {', '.join(known)}")
-        options[name] = _number(value, known[name].type)
+            raise ScenarioError(f"{name!r} is unknown; give one of {', '.join(known)}")
+        options[name] = _parse_number(value, known[name].type)
     return replace(command, **options)
 
 
-def _number(text: str, kind: type) -> int | float:
+def _parse_number(text: str, kind: type) -> int | float:
     try:
         return kind(text)
     except ValueError:
-        raise ScenarioError(f"{text!r} is no number") from None
+        raise ScenarioError(f"{text!r} is not a number") from None
 
 
-def _submit(rest: str) -> c.Submit:
+def _parse_submit(arguments: str) -> c.Submit:
     form = rf"({NAME}) (?:session|job of (\d+)) via ({PROCESS})(.*)"
-    found = re.fullmatch(form, rest)
-    if not found:
+    matched = re.fullmatch(form, arguments)
+    if not matched:
         raise ScenarioError("submit NAME session|job of N via ENTRY ...")
-    name, tasks, via, options = found.groups()
+    name, tasks, via, options = matched.groups()
     submit = c.Submit(name, via, int(tasks or 0))
     while options.strip():
         options = options.strip()
@@ -96,18 +98,18 @@
                 options = options[option.end() :]
                 break
         else:
-            raise ScenarioError(f"no option of submit: {options!r}")
+            raise ScenarioError(f"unknown option of submit: {options!r}")
     if submit.tasks and submit.key is c.KeyKind.NONE:
         raise ScenarioError("a job needs a key")
     return submit
 
 
-def _key(submit: c.Submit, kind: str, owner: str | None) -> c.Submit:
+def _set_key(submit: c.Submit, kind: str, owner: str | None) -> c.Submit:
     return replace(submit, key=c.KeyKind(kind), key_owner=owner or "")
 
 
 SUBMIT_OPTIONS: list[tuple[str, Callable[..., c.Submit]]] = [
-    (rf"key (none|opaque|uuid7|handed-out)(?: of ({PROCESS}))?(?:$| )", _key),
+    (rf"key (none|opaque|uuid7|handed-out)(?: of ({PROCESS}))?(?:$| )", _set_key),
     (rf"run ({NUMBER})(?:$| )", lambda s, n: replace(s, run=float(n))),
     (rf"timeout ({NUMBER})(?:$| )", lambda s, n: replace(s, timeout=float(n))),
     (r"idempotent(?:$| )", lambda s: replace(s, idempotent=True)),
@@ -116,7 +118,7 @@
 
 def _check_message(name: str) -> None:
     if not isinstance(getattr(messages, name, None), type):
-        raise ScenarioError(f"no kind of message: {name}")
+        raise ScenarioError(f"unknown kind of message: {name}")
 
 
 def _lose_next(message: str, process: str) -> c.LoseNext:
@@ -124,7 +126,7 @@
     return c.LoseNext(process, message)
 
 
-def _outcomes(label: str, outcomes: str, seconds: str | None) -> c.ExpectOutcome:
+def _expect_outcome(label: str, outcomes: str, seconds: str | None) -> c.ExpectOutcome:
     names = frozenset(outcomes.split(" or "))
     if names - OUTCOMES:
         raise ScenarioError(f"an outcome is one of {', '.join(sorted(OUTCOMES))}")
@@ -167,7 +169,7 @@
     (rf"apply weight ({NUMBER})", lambda n: c.Apply(float(n))),
     (rf"wait ({NUMBER})", lambda n: c.Wait(float(n))),
     (rf"wait for ({NAME})", c.WaitFor),
-    (rf"expect ({NAME}) is ([\w ]+?)(?: within ({NUMBER}))?", _outcomes),
+    (rf"expect ({NAME}) is ([\w ]+?)(?: within ({NUMBER}))?", _expect_outcome),
     (rf"expect starts of ({NAME}) are (\d+)", lambda s, n: c.ExpectStarts(s, int(n))),
     (rf"expect ({NAME}) equals ({NAME})", c.ExpectEqual),
     (rf"expect whole ({NAME})", c.ExpectWhole),
--- a/bergamotcourse/scenarios/runner.py
+++ b/bergamotcourse/scenarios/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario on a virtual fleet and tells whether all held that must."""
+"""Runs a scenario on a virtual fleet; reports failed expectations and invariants."""
 
 import random
 from collections import Counter
@@ -11,61 +11,64 @@
 from bergamotcourse.ids import submission_id
 from bergamotcourse.scenarios import commands as c
 from bergamotcourse.scenarios.callers import TEAM, Callers, Submission, owner_name
-from bergamotcourse.scenarios.checker import Checker, StartSeen, is_whole
+from bergamotcourse.scenarios.checker import Checker, RecordedStart, has_all_results
 from bergamotcourse.scenarios.faults import Faults
 from bergamotcourse.state.keys import HandedOutKey, key_kind
 from bergamotcourse.transport.http import HttpRequest
 from bergamotcourse.virtual.clock import run_virtual
 from bergamotcourse.virtual.fleet import FleetShape, VirtualFleet, default_manifest
 
-READY_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
 CLOCK_SPREAD = 10_000.0
 CLOCK_DRIFT = 0.03
-LAST_ANSWERS_SECONDS = 90.0
-SETTLE_SECONDS = 4.0
-"""After the last answer all faults are healed: what comes late must show itself."""
+FINAL_ANSWERS_TIMEOUT_SECONDS = 90.0
+LATE_EFFECTS_SECONDS = 4.0
+"""Time after the last answer in which late effects, such as starts, can show up.
+
+All faults are cleared by then.
+"""
 
 
 @dataclass
 class Report:
-    """What a scenario showed.
+    """Result of a scenario.
 
     Attributes:
-        failures: What did not hold, one line each.
-        outcomes: Of all copies.
-        ended_at: Seconds of virtual time.
+        failures: Failed expectations and violated invariants, one line each.
+        outcomes: Number of copies by outcome.
+        ended_at: End of the run in seconds of virtual time.
     """
 
     failures: list[str] = field(default_factory=list)
     outcomes: Counter[str] = field(default_factory=Counter)
     submissions: list[Submission] = field(default_factory=list)
-    starts: list[StartSeen] = field(default_factory=list)
+    starts: list[RecordedStart] = field(default_factory=list)
     ended_at: float = 0.0
 
 
-class Run:
+class ScenarioRun:
     """One run of a scenario."""
 
     def __init__(self, fleet: VirtualFleet, nursery: trio.Nursery, seed: int):
         self.fleet = fleet
         self.callers = Callers(fleet, nursery, random.Random(seed))
         self.faults = Faults(fleet, nursery)
-        self.starts: list[StartSeen] = []
+        self.starts: list[RecordedStart] = []
         self.report = Report(starts=self.starts)
         self.manifest_version = 1
-        fleet.on_start = self._note_start
+        fleet.on_start = self._record_start
 
     async def run(self, steps: list[c.Step]) -> Report:
-        """Carry out all steps, then check."""
+        """Execute all steps, then check the invariants."""
         for step in steps:
-            failure = await self._take(step.command)
+            failure = await self._execute(step.command)
             if failure:
                 self.report.failures.append(f"line {step.line}: {step.text}: {failure}")
         await self._finish()
         return self.report
 
-    async def _take(self, command: c.Command) -> str:
-        """Carry out a command; return what failed, if it was an expectation."""
+    async def _execute(self, command: c.Command) -> str:
+        """Execute a command; return the failure of an expectation, or ``""``."""
         match command:
             case c.Fleet():
                 pass
@@ -97,7 +100,7 @@
             ):
                 return await self._expect(command)
             case _:
-                self.faults.carry_out(command)
+                self.faults.inject(command)
         return ""
 
     async def _expect(self, expectation: c.Expectation) -> str:
@@ -107,40 +110,42 @@
                 copy = callers.copies[label]
                 with trio.move_on_after(seconds):
                     await copy.answered.wait()
-                told = copy.outcome if copy.answered.is_set() else "no answer"
+                outcome = copy.outcome if copy.answered.is_set() else "no answer"
                 detail = copy.body.decode(errors="replace")
-                return "" if told in outcomes else f"{told} {detail}"
+                return "" if outcome in outcomes else f"{outcome} {detail}"
             case c.ExpectStarts(name=name, count=count):
                 checker = self._checker()
                 tasks = callers.submissions[name].tasks
-                counts = {task: len(checker.times(task)) for task in tasks}
+                counts = {task: len(checker.start_times(task)) for task in tasks}
                 wrong = {task: n for task, n in counts.items() if n != count}
                 return str(wrong) if wrong else ""
             case c.ExpectEqual(label=label, other=other):
-                await self._wait_for(label, other)
+                await self._wait_for_answers(label, other)
                 bodies = [callers.copies[one].body for one in (label, other)]
                 return "" if bodies[0] == bodies[1] else f"{bodies[0]} {bodies[1]}"
             case c.ExpectWhole(label=label):
-                await self._wait_for(label)
+                await self._wait_for_answers(label)
                 copy = callers.copies[label]
                 [job] = [s for s in callers.submissions.values() if copy in s.copies]
-                return "" if is_whole(job, copy) else f"{copy.outcome} {copy.body}"
+                return (
+                    "" if has_all_results(job, copy) else f"{copy.outcome} {copy.body}"
+                )
             case c.ExpectOwner(name=name, entry=entry):
-                owner = owner_name(self.fleet, self._range(name))
+                owner = owner_name(self.fleet, self._key_range(name))
                 return "" if owner == entry else owner or "none"
             case c.ExpectNoWork(agent=agent, seconds=seconds):
                 since = self.faults.leaving_since[agent] + seconds
                 late = [s for s in self.starts if s.agent == agent and s.at > since]
                 return ", ".join(f"{s.task} at {s.at:.3f}" for s in late)
             case c.ExpectSound():
-                return "; ".join(self._checker().findings(at_end=False))
+                return "; ".join(self._checker().find_violations(at_end=False))
 
-    async def _wait_for(self, *labels: str) -> None:
-        with trio.move_on_after(LAST_ANSWERS_SECONDS):
+    async def _wait_for_answers(self, *labels: str) -> None:
+        with trio.move_on_after(FINAL_ANSWERS_TIMEOUT_SECONDS):
             for label in labels:
                 await self.callers.copies[label].answered.wait()
 
-    def _range(self, name: str) -> int:
+    def _key_range(self, name: str) -> int:
         key = self.callers.submissions[name].key
         match key_kind(key):
             case HandedOutKey(range=range_id):
@@ -157,41 +162,41 @@
         self.manifest_version += 1
 
     async def _finish(self) -> None:
-        self._heal()
-        with trio.move_on_after(LAST_ANSWERS_SECONDS):
+        self._clear_faults()
+        with trio.move_on_after(FINAL_ANSWERS_TIMEOUT_SECONDS):
             for copy in list(self.callers.copies.values()):
                 await copy.answered.wait()
-        await trio.sleep(SETTLE_SECONDS)
+        await trio.sleep(LATE_EFFECTS_SECONDS)
         report = self.report
         report.submissions = list(self.callers.submissions.values())
-        report.failures += self._checker().findings(at_end=True)
+        report.failures += self._checker().find_violations(at_end=True)
         report.outcomes.update(copy.outcome for copy in self.callers.copies.values())
         report.ended_at = trio.current_time()
 
-    def _heal(self) -> None:
+    def _clear_faults(self) -> None:
         self.faults.traps.clear()
-        self.faults.carry_out(c.HealStore())
-        self.faults.carry_out(c.HealNetwork())
-        self.faults.carry_out(c.Network())
+        self.faults.inject(c.HealStore())
+        self.faults.inject(c.HealNetwork())
+        self.faults.inject(c.Network())
         for process in [*self.fleet.entries.values(), *self.fleet.agents.values()]:
             process.thaw()
 
     def _checker(self) -> Checker:
         return Checker(list(self.callers.submissions.values()), self.starts)
 
-    def _note_start(self, agent: str, request: HttpRequest) -> None:
+    def _record_start(self, agent: str, request: HttpRequest) -> None:
         task = request.body.decode()
-        self.starts.append(StartSeen(task, trio.current_time(), agent))
+        self.starts.append(RecordedStart(task, trio.current_time(), agent))
 
 
 def run_scenario(steps: list[c.Step], seed: int) -> Report:
-    """Run a scenario on a virtual clock; the same seed gives the same run."""
+    """Run a scenario on a virtual clock; the run is deterministic for a seed."""
 
     async def main() -> Report:
         async with trio.open_nursery() as nursery:
-            fleet = VirtualFleet(nursery, seed, _shape(steps))
-            run = Run(fleet, nursery, seed)
-            with trio.fail_after(READY_SECONDS):
+            fleet = VirtualFleet(nursery, seed, _fleet_shape(steps))
+            run = ScenarioRun(fleet, nursery, seed)
+            with trio.fail_after(READY_TIMEOUT_SECONDS):
                 await fleet.start()
             report = await run.run(steps)
             nursery.cancel_scope.cancel()
@@ -200,7 +205,7 @@
     return run_virtual(main, seed)
 
 
-def _shape(steps: list[c.Step]) -> FleetShape:
+def _fleet_shape(steps: list[c.Step]) -> FleetShape:
     first = steps[0].command if steps else None
     fleet = first if isinstance(first, c.Fleet) else c.Fleet()
     return FleetShape(
--- a/bergamotcourse/scenarios/survey.py
+++ b/bergamotcourse/scenarios/survey.py
@@ -1,4 +1,4 @@
-"""Random schedules in number: what fails, and what callers meet under which faults."""
+"""Runs many random schedules; sums up failures and answers by kind of fault."""
 
 import logging
 from collections import Counter
@@ -10,18 +10,22 @@
 from bergamotcourse.protocol.outcome import Outcome
 from bergamotcourse.scenarios.parser import parse
 from bergamotcourse.scenarios.runner import Report, run_scenario
-from bergamotcourse.scenarios.schedules import LAST, FaultKind, make_schedule
+from bergamotcourse.scenarios.schedules import (
+    FINAL_PREFIX,
+    FaultKind,
+    make_schedule,
+)
 
-ANSWERS = [outcome.value for outcome in Outcome]
+ANSWERED_OUTCOMES = [outcome.value for outcome in Outcome]
 
 
 @dataclass
 class KindSurvey:
-    """All schedules that have one kind of fault, maybe beside others.
+    """Totals over the schedules with one kind of fault, possibly among others.
 
     Attributes:
-        outcomes: Of the copies of their submissions.
-        longest_gap: Seconds over which callers asked in vain.
+        outcomes: Number of copies of their submissions by outcome.
+        longest_gap: Longest time in seconds in which no request was served.
     """
 
     schedules: int = 0
@@ -30,19 +34,19 @@
 
     @property
     def unknown_share(self) -> float:
-        """Return the share of "unknown" among the answers that name an outcome."""
-        answered = sum(self.outcomes[name] for name in ANSWERS)
+        """Return the share of "unknown" among the answers that carry an outcome."""
+        answered = sum(self.outcomes[name] for name in ANSWERED_OUTCOMES)
         return self.outcomes[Outcome.UNKNOWN.value] / answered if answered else 0.0
 
 
 @dataclass
 class Survey:
-    """What random schedules showed.
+    """Results of random schedules.
 
     Attributes:
-        failures: By seed.
-        kinds: By kind of fault.
-        total: All schedules.
+        failures: Failures by seed.
+        kinds: Totals by kind of fault.
+        total: Totals over all schedules.
     """
 
     failures: dict[int, list[str]] = field(default_factory=dict)
@@ -50,24 +54,24 @@
     total: KindSurvey = field(default_factory=KindSurvey)
 
     def add(self, seed: int, kinds: set[FaultKind], report: Report) -> None:
-        """Add what one schedule showed."""
+        """Add the report of one schedule."""
         if report.failures:
             self.failures[seed] = report.failures
         gap = longest_gap(report)
         for kind in kinds:
-            self._count(self.kinds.setdefault(kind, KindSurvey()), report, gap)
-        self._count(self.total, report, gap)
+            self._add_report(self.kinds.setdefault(kind, KindSurvey()), report, gap)
+        self._add_report(self.total, report, gap)
 
-    def _count(self, survey: KindSurvey, report: Report, gap: float) -> None:
+    def _add_report(self, survey: KindSurvey, report: Report, gap: float) -> None:
         survey.schedules += 1
         survey.outcomes.update(report.outcomes)
         survey.longest_gap = max(survey.longest_gap, gap)
 
 
 def run_schedules(seeds: Iterable[int]) -> Survey:
-    """Run the schedules of some seeds."""
+    """Run the schedules of the given seeds."""
     survey = Survey()
-    with silence():
+    with suppress_takeover_logs():
         for seed in seeds:
             schedule = make_schedule(seed)
             steps = parse(schedule.text, f"seed {seed}").ok
@@ -76,8 +80,8 @@
 
 
 @contextmanager
-def silence() -> Iterator[None]:
-    """Log no takeovers for a while: here they are what is wanted."""
+def suppress_takeover_logs() -> Iterator[None]:
+    """Suppress log messages, since takeovers are expected under injected faults."""
     logger = logging.getLogger("bergamotcourse")
     level = logger.level
     logger.setLevel(logging.CRITICAL)
@@ -88,17 +92,18 @@
 
 
 def longest_gap(report: Report) -> float:
-    """Return the longest time in seconds over which callers asked in vain.
+    """Return the longest time in seconds in which no request was served.
 
-    The requests that end a schedule are left out: they come after a pause.
+    It is measured between submissions. The requests that end a schedule are excluded,
+    because they follow a pause.
     """
-    submissions = [s for s in report.submissions if not s.name.startswith(LAST)]
+    submissions = [s for s in report.submissions if not s.name.startswith(FINAL_PREFIX)]
     copies = [copy for one in submissions for copy in one.copies]
-    asked = sorted(copy.submitted_at for copy in copies)
+    submitted = sorted(copy.submitted_at for copy in copies)
     done = [c.answered_at for c in copies if c.outcome == Outcome.DONE.value]
     longest = 0.0
     for before, after in pairwise([0.0, *sorted(done), report.ended_at]):
-        in_vain = [at for at in asked if before < at < after]
-        if in_vain:
-            longest = max(longest, in_vain[-1] - in_vain[0])
+        unserved = [at for at in submitted if before < at < after]
+        if unserved:
+            longest = max(longest, unserved[-1] - unserved[0])
     return longest
--- a/bergamotcourse/tests/commands/test_announce.py
+++ b/bergamotcourse/tests/commands/test_announce.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from bergamotcourse.commands.announce import announced, echo_in_force, open_link
+from bergamotcourse.commands.announce import echo_in_force, open_link, with_announcement
 from bergamotcourse.commands.exit_codes import ExitCode
 from bergamotcourse.coordination.config_exchange import ConfigExchange
 from bergamotcourse.coordination.config_watch import ConfigWatch
@@ -19,7 +19,7 @@
 from bergamotcourse.transport.nng_link import NngLink
 
 PLATFORM = "127.0.0.1:9000"
-PATIENCE_SECONDS = 10
+APPLY_TIMEOUT_SECONDS = 10
 
 
 async def put_row(platform, address, config=1):
@@ -29,7 +29,7 @@
 
 
 class TestAnnounced:
-    def test_an_entry_is_told_over_its_link(self):
+    def test_accepted_version_reaches_entry_over_its_link(self):
         platform = MemoryPlatform()
         rng = random.Random(1)
         timers = Timers(rng)
@@ -46,10 +46,10 @@
                 nursery.start_soon(mailer.run)
                 await mailer.link.wait_open()
                 await put_row(platform, mailer.link.address)
-                change = announced(
+                change = with_announcement(
                     PLATFORM, lambda store: accept(store, make_manifest("r2"), 1)
                 )
-                with trio.fail_after(PATIENCE_SECONDS):
+                with trio.fail_after(APPLY_TIMEOUT_SECONDS):
                     accepted = await change(platform)
                 assert accepted.ok.version == 2
                 assert watch.manifest.release == "r2"
@@ -57,18 +57,18 @@
 
         trio.run(main)
 
-    def test_nothing_is_opened_where_no_entry_is_known(self):
+    def test_no_link_is_opened_without_known_entries(self):
         platform = MemoryPlatform()
 
         def refuse(address):
             raise AssertionError(address)
 
-        change = announced(
+        change = with_announcement(
             PLATFORM, lambda store: accept(store, make_manifest("r1")), refuse
         )
         assert trio.run(change, platform).ok.version == 1
 
-    def test_the_link_is_on_the_way_to_the_platform(self):
+    def test_link_listens_on_the_address_that_routes_to_the_platform(self):
         assert open_link(PLATFORM).host == "127.0.0.1"
 
 
@@ -80,7 +80,7 @@
             (0, ExitCode.TIMED_OUT, "at 0 of 1 entries, lagging: one"),
         ],
     )
-    def test_says_where(self, capsys, config, code, words):
+    def test_reports_entries_in_force_and_lagging(self, capsys, config, code, words):
         platform = MemoryPlatform()
 
         @asynccontextmanager
--- a/bergamotcourse/tests/commands/test_configuration_commands.py
+++ b/bergamotcourse/tests/commands/test_configuration_commands.py
@@ -10,7 +10,7 @@
 from bergamotcourse.commands.connect import open_platform, parse_address
 from bergamotcourse.commands.diff import diff, diff_files
 from bergamotcourse.commands.exit_codes import ExitCode
-from bergamotcourse.commands.output import echo_accepted
+from bergamotcourse.commands.output import echo_apply_outcome
 from bergamotcourse.commands.rollback import rollback
 from bergamotcourse.commands.validate import validate, validate_settings
 from bergamotcourse.coordination.config_rows import read_head_row, record_key
@@ -24,8 +24,8 @@
 TEXT = (EXAMPLES / "manifest.yaml").read_text()
 
 
-class Bench:
-    """A platform, and files with releases of the example manifest."""
+class ConfigCommandHarness:
+    """An in-memory platform and files with releases of the example manifest."""
 
     def __init__(self, directory):
         self.platform = MemoryPlatform()
@@ -47,16 +47,16 @@
 
 
 @pytest.fixture
-def bench(tmp_path):
-    return Bench(tmp_path)
+def harness(tmp_path):
+    return ConfigCommandHarness(tmp_path)
 
 
 class TestValidate:
-    def test_a_valid_manifest(self, capsys):
+    def test_valid_manifest_passes(self, capsys):
         assert validate(str(EXAMPLES / "manifest.yaml")) == ExitCode.OK
         assert "valid, digest" in capsys.readouterr().out
 
-    def test_an_invalid_one_names_all_errors(self, tmp_path, capsys):
+    def test_invalid_manifest_reports_all_errors(self, tmp_path, capsys):
         path = tmp_path / "m.yaml"
         path.write_text("release: r1\nteems: []\nwrite_ahead: 3\n")
         assert validate(str(path)) == ExitCode.INVALID
@@ -65,7 +65,7 @@
         issues = msgspec.json.decode(capsys.readouterr().out)
         assert [issue["severity"] for issue in issues].count("error") == 2
 
-    def test_settings(self, capsys):
+    def test_settings_are_checked_for_the_process_kind(self, capsys):
         file = str(EXAMPLES / "entry.yaml")
         assert validate_settings(file, ProcessKind.ENTRY) == ExitCode.OK
         assert validate_settings(file, ProcessKind.AGENT) == ExitCode.INVALID
@@ -73,92 +73,96 @@
 
 
 class TestDiff:
-    def test_against_the_accepted_manifest(self, bench, capsys):
-        bench.apply("r1", 0)
-        assert diff(bench.file("r1"), ADDRESS, opener=bench.open) == ExitCode.OK
-        assert diff(bench.file("r2"), ADDRESS, opener=bench.open) == ExitCode.DIFFERENT
+    def test_compares_with_the_accepted_manifest(self, harness, capsys):
+        harness.apply("r1", 0)
+        assert diff(harness.file("r1"), ADDRESS, opener=harness.open) == ExitCode.OK
+        assert (
+            diff(harness.file("r2"), ADDRESS, opener=harness.open) == ExitCode.DIFFERENT
+        )
         out = capsys.readouterr().out
         assert "compared with accepted version 1" in out
         assert '~ manifest.release: "r1" -> "r2"' in out
 
-    def test_of_two_files(self, bench, capsys):
-        code = diff_files(bench.file("r1"), bench.file("r2"), json=True)
+    def test_compares_two_files(self, harness, capsys):
+        code = diff_files(harness.file("r1"), harness.file("r2"), json=True)
         assert code == ExitCode.DIFFERENT
         (change,) = msgspec.json.decode(capsys.readouterr().out)["changes"]["changed"]
         assert (change["old"], change["new"]) == ("r1", "r2")
 
-    def test_of_a_platform_that_is_down(self, bench, capsys):
-        bench.platform.faults.down = True
-        code = diff(bench.file("r1"), ADDRESS, opener=bench.open)
+    def test_unavailable_platform_is_unreachable(self, harness, capsys):
+        harness.platform.faults.down = True
+        code = diff(harness.file("r1"), ADDRESS, opener=harness.open)
         assert code == ExitCode.UNREACHABLE
         assert "store with platform: down" in capsys.readouterr().err
 
 
 class TestApply:
-    def test_accepts_once(self, bench, capsys):
-        assert bench.apply("r1", 0) == ExitCode.OK
-        assert bench.apply("r1", 0) == ExitCode.OK
+    def test_repeated_apply_is_accepted_once(self, harness, capsys):
+        assert harness.apply("r1", 0) == ExitCode.OK
+        assert harness.apply("r1", 0) == ExitCode.OK
         out = capsys.readouterr().out
         assert "accepted as version 1" in out
         assert "unchanged: in force as version 1" in out
 
-    def test_tells_who_won_a_race(self, bench, capsys):
-        bench.apply("r1", 0)
-        bench.apply("r2", 1, who="jon")
+    def test_lost_race_reports_the_winning_change(self, harness, capsys):
+        harness.apply("r1", 0)
+        harness.apply("r2", 1, who="jon")
         capsys.readouterr()
-        assert bench.apply("r3", 1) == ExitCode.LOST_RACE
+        assert harness.apply("r3", 1) == ExitCode.LOST_RACE
         err = capsys.readouterr().err
         assert "jon changed the configuration to version 2" in err
         assert '"r1" -> "r2"' in err
-        assert bench.apply("r3", 1, json=True) == ExitCode.LOST_RACE
+        assert harness.apply("r3", 1, json=True) == ExitCode.LOST_RACE
         assert msgspec.json.decode(capsys.readouterr().out)["who"] == "jon"
 
-    def test_an_answer_that_stays_lost_is_in_doubt(self, capsys):
-        code = echo_accepted(Error(failed("answer lost", None)), json=False)
+    def test_lost_platform_answer_is_in_doubt(self, capsys):
+        code = echo_apply_outcome(Error(failed("answer lost", None)), json=False)
         assert code == ExitCode.IN_DOUBT
         assert "run the same command again" in capsys.readouterr().err
 
-    def test_an_address_that_is_no_ip_number_is_refused(self, bench, capsys):
-        code = apply(bench.file("r1"), "db:1", 0, "ane", "why")
+    def test_host_name_as_platform_address_is_refused(self, harness, capsys):
+        code = apply(harness.file("r1"), "db:1", 0, "ane", "why")
         assert code == ExitCode.INVALID
         assert "'db:1' is not IP:PORT" in capsys.readouterr().err
 
 
 class TestRollback:
-    def test_brings_back_the_content(self, bench, capsys):
-        bench.apply("r1", 0)
-        bench.apply("r2", 1)
-        code = rollback(1, ADDRESS, "ane", "why", opener=bench.open)
+    def test_restores_an_earlier_version_and_rejects_an_unknown_one(
+        self, harness, capsys
+    ):
+        harness.apply("r1", 0)
+        harness.apply("r2", 1)
+        code = rollback(1, ADDRESS, "ane", "why", opener=harness.open)
         assert code == ExitCode.OK
         assert "accepted as version 3" in capsys.readouterr().out
-        code = rollback(9, ADDRESS, "ane", "why", opener=bench.open)
+        code = rollback(9, ADDRESS, "ane", "why", opener=harness.open)
         assert code == ExitCode.NOT_FOUND
 
 
 class TestAudit:
-    def test_shows_and_verifies_the_trail(self, bench, capsys):
-        bench.apply("r1", 0)
-        bench.apply("r2", 1, who="jon")
+    def test_filters_records_and_detects_a_missing_one(self, harness, capsys):
+        harness.apply("r1", 0)
+        harness.apply("r2", 1, who="jon")
         capsys.readouterr()
-        assert audit(ADDRESS, who="jon", opener=bench.open) == ExitCode.OK
+        assert audit(ADDRESS, who="jon", opener=harness.open) == ExitCode.OK
         out = capsys.readouterr().out
         assert "version 2 at" in out
         assert "by jon: why" in out
         assert "version 1" not in out
-        assert audit_verify(ADDRESS, opener=bench.open) == ExitCode.OK
-        bench.platform.table.transact("", [Write(record_key(1), None, None)])
+        assert audit_verify(ADDRESS, opener=harness.open) == ExitCode.OK
+        harness.platform.table.transact("", [Write(record_key(1), None, None)])
         capsys.readouterr()
-        assert audit_verify(ADDRESS, json=True, opener=bench.open) == ExitCode.BROKEN
+        assert audit_verify(ADDRESS, json=True, opener=harness.open) == ExitCode.BROKEN
         report = msgspec.json.decode(capsys.readouterr().out)
         assert report["version"] == 1
 
 
 class TestConnect:
     @pytest.mark.parametrize("address", ["db:1", "10.0.0.1", "10.0.0.1:0", "::1:x"])
-    def test_refuses_an_address(self, address):
+    def test_malformed_address_is_refused(self, address):
         assert parse_address(address).is_error()
 
-    def test_accepts_ipv6(self):
+    def test_bracketed_ipv6_address_is_accepted(self):
         assert parse_address("[::1]:90").ok.host == "::1"
 
     def test_opens_the_platform_over_http(self):
--- a/bergamotcourse/tests/commands/test_operator_commands.py
+++ b/bergamotcourse/tests/commands/test_operator_commands.py
@@ -77,21 +77,21 @@
 
 
 class TestStatus:
-    def test_tells_all_entries_and_agents(self, fleet):
+    def test_reports_all_entries_and_agents(self, fleet):
         result = status(fleet, "--json")
         assert result.returncode == ExitCode.OK, result.stderr
-        told = json.loads(result.stdout)["entries"]
-        assert [one["id"][:7] for one in told] == ["entry-1", "entry-2"]
-        for one in told:
+        reported = json.loads(result.stdout)["entries"]
+        assert [one["id"][:7] for one in reported] == ["entry-1", "entry-2"]
+        for one in reported:
             assert one["ready"] and one["config"]["version"] >= 1
             assert [agent["health"] for agent in one["agents"]] == ["usable"] * 2
             assert one["entries"][0]["alive"]
-        owned = [number for one in told for number in one["ranges"]["hashed"]]
+        owned = [number for one in reported for number in one["ranges"]["hashed"]]
         assert sorted(owned) == list(range(64))
         table = status(fleet).stdout
         assert "ENTRY" in table and "agent-2" in table and "usable" in table
 
-    def test_wants_a_token_that_the_manifest_names(self, fleet):
+    def test_missing_or_unknown_token_is_refused(self, fleet):
         asked = fleet.command("status", *entries(fleet), *token(fleet, "token-2"))
         assert asked.returncode == ExitCode.INVALID
         fleet.write("wrong", "wrong")
@@ -99,7 +99,7 @@
         assert asked.returncode == ExitCode.FORBIDDEN
         assert asked.stdout == ""
 
-    def test_names_an_entry_that_does_not_answer(self, fleet):
+    def test_reports_an_unreachable_entry(self, fleet):
         gone = address(fleet, "nobody")
         result = status(fleet, "--entry", gone)
         assert result.returncode == ExitCode.UNREACHABLE
@@ -108,7 +108,7 @@
 
 
 class TestDrain:
-    def test_waits_until_nothing_runs_there(self, fleet):
+    def test_drained_worker_gets_no_requests_until_cancelled(self, fleet):
         result = drain(fleet, "worker", "worker-agent-1", "--wait", "--timeout", "20")
         assert result.returncode == ExitCode.OK, result.stderr
         assert "in force at 2 of 2 entries; 0 tasks run at 1 upstreams" in result.stderr
@@ -120,21 +120,21 @@
         assert again.returncode == ExitCode.NOT_FOUND
         assert "no drain worker/worker-agent-1 is in force" in again.stderr
 
-    def test_of_an_upstream_is_obeyed_by_its_agent(self, fleet):
+    def test_drained_upstream_gets_no_requests(self, fleet):
         result = drain(fleet, "upstream", "upstream-2", "--wait", "--timeout", "20")
         assert result.returncode == ExitCode.OK, result.stderr
         replies = [fleet.get("entry-2", "/s/voting/x").body for _ in range(5)]
         assert {reply.split()[0] for reply in replies} == {b"upstream-1"}
         assert drain(fleet, "upstream", "upstream-2", "--cancel").returncode == 0
 
-    def test_warns_of_a_name_that_nothing_has(self, fleet):
+    def test_drain_of_an_unknown_name_warns(self, fleet):
         result = drain(fleet, "rack", "nothing", "--dry-run")
         assert result.returncode == ExitCode.OK
         assert "no upstream known now is in rack nothing" in result.stderr
 
 
 class TestSubmit:
-    def test_a_job_is_waited_for(self, fleet):
+    def test_repeated_key_returns_the_result_without_rerunning(self, fleet):
         result = submit(fleet, JOB, "--key", "a-job")
         assert result.returncode == ExitCode.OK, result.stderr
         bodies = [one["body"] for one in json.loads(result.stdout)["results"]]
@@ -143,7 +143,7 @@
         assert again.stdout == result.stdout
         assert fleet.record(["upstream-1", "upstream-2"])["job-0"] == 1
 
-    def test_a_lost_connection_is_asked_again_elsewhere(self, fleet):
+    def test_unreachable_entry_is_retried_at_the_next(self, fleet):
         other = ["--entry", address(fleet, "entry-2"), "--key", "elsewhere"]
         result = submit(fleet, SESSION, *other, entry="nobody")
         assert result.returncode == ExitCode.OK, result.stderr
@@ -160,10 +160,10 @@
             ("[1]", ExitCode.INVALID),
         ],
     )
-    def test_the_exit_code_tells_the_outcome(self, fleet, text, code):
+    def test_exit_code_matches_the_outcome(self, fleet, text, code):
         result = submit(fleet, text)
         assert result.returncode == code, result.stderr
         assert "Traceback" not in result.stderr
 
-    def test_an_unknown_token_is_refused(self, fleet):
+    def test_token_of_no_team_is_refused(self, fleet):
         assert submit(fleet, JOB, who="token").returncode == ExitCode.FORBIDDEN
--- a/bergamotcourse/tests/commands/test_replay.py
+++ b/bergamotcourse/tests/commands/test_replay.py
@@ -25,7 +25,7 @@
         lines = [line.split()[0] for line in done.output.splitlines()]
         assert lines == ["policy", "all", "without", "kind", "check"]
 
-    def test_an_unknown_mechanism_is_one_clean_line(self, tmp_path):
+    def test_unknown_mechanism_is_reported_on_one_line(self, tmp_path):
         done = run(tmp_path, "--without", "luck")
         assert done.exit_code == ExitCode.INVALID
         [line] = done.output.splitlines()
--- a/bergamotcourse/tests/scenarios/test_cases.py
+++ b/bergamotcourse/tests/scenarios/test_cases.py
@@ -9,9 +9,9 @@
 
 
 class TestCases:
-    """Each file says what happens and what must hold; the checker adds the rest."""
+    """Runs each scenario file; the checker adds the invariants to its expectations."""
 
     @pytest.mark.parametrize("file", CASES, ids=lambda file: file.stem)
-    def test_it_holds(self, file):
+    def test_scenario_expectations_and_invariants_hold(self, file):
         steps = parse(file.read_text(), file.name).ok
         assert run_scenario(steps, seed=1).failures == []
--- a/bergamotcourse/tests/scenarios/test_parser.py
+++ b/bergamotcourse/tests/scenarios/test_parser.py
@@ -32,7 +32,7 @@
             ("expect no work at agent-1 after 3", c.ExpectNoWork("agent-1", 3.0)),
         ],
     )
-    def test_a_line_is_a_command(self, line, command):
+    def test_line_parses_to_command(self, line, command):
         assert parse_line(line) == command
 
     @pytest.mark.parametrize(
@@ -49,16 +49,16 @@
             "expect a is fine",
         ],
     )
-    def test_what_is_no_command_is_told(self, line):
+    def test_invalid_line_raises_scenario_error(self, line):
         with pytest.raises(ScenarioError):
             parse_line(line)
 
 
 class TestParse:
-    def test_comments_and_empty_lines_are_left_out(self):
+    def test_comments_and_empty_lines_are_skipped(self):
         steps = parse("# what\n\nwait 1 # a while\n").ok
         assert steps == [c.Step(3, "wait 1", c.Wait(1.0))]
 
-    def test_all_faults_are_told_with_their_lines(self):
-        faults = parse("wait 1\nfleet\nnonsense\n", "x").error
-        assert [fault.split(" ")[0] for fault in faults] == ["x:3:", "x:2:"]
+    def test_all_errors_are_reported_with_line_numbers(self):
+        errors = parse("wait 1\nfleet\nnonsense\n", "x").error
+        assert [fault.split(" ")[0] for fault in errors] == ["x:3:", "x:2:"]
