--- a/bergamotcourse/scenarios/callers.py
+++ b/bergamotcourse/scenarios/callers.py
@@ -15,7 +15,7 @@
 from bergamotcourse.scenarios.commands import KeyKind, Submit
 from bergamotcourse.state.lease_rows import RangeRow, range_key
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
-from bergamotcourse.virtual.fleet import SERVICE, TOKEN, UNIX_MS, VirtualFleet
+from bergamotcourse.virtual.fleet import SERVICE, START_UNIX_MS, TOKEN, VirtualFleet
 
 TEAM = TeamId("barakaldo")
 MAX_KEY_ATTEMPTS = 2_000
@@ -187,7 +187,7 @@
                 return prefix + command.name if prefix else self._uuid7()
 
     def _uuid7(self) -> str:
-        made_ms = UNIX_MS + int(trio.current_time() * 1000)
+        made_ms = START_UNIX_MS + int(trio.current_time() * 1000)
         random_bits = self.rng.getrandbits(80)
         value = (made_ms << 80) | random_bits
         value = (value & ~(0xF << 76)) | (7 << 76)
--- a/bergamotcourse/scenarios/faults.py
+++ b/bergamotcourse/scenarios/faults.py
@@ -70,7 +70,7 @@
             case c.Disarm():
                 self.traps.clear()
             case c.JumpClock(process=name, seconds=seconds):
-                fleet.wall_errors[name] = seconds
+                fleet.wall_clock_errors[name] = seconds
             case _:
                 self._inject_store_fault(fault)
 
@@ -106,7 +106,7 @@
 
     def _stop(self, process: Process) -> None:
         async def stop() -> None:
-            await process.pause.passed()
+            await process.pause.wait_until_thawed()
             await process.stop()
 
         if process.nursery is not None:
--- a/bergamotcourse/standins/__init__.py
+++ b/bergamotcourse/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems outside: platform and upstream."""
+"""Stand-ins for the external systems: the platform and the upstreams."""
--- a/bergamotcourse/standins/order_upstream.py
+++ b/bergamotcourse/standins/order_upstream.py
@@ -1,7 +1,8 @@
-"""A stand-in for an upstream that takes orders, with the rules such upstreams keep.
+"""A stand-in for an upstream that starts and stops runs on order.
 
-It runs on trio's clock. Its own clock may drift. It can crash, hang, turn slow, fail
-what it starts, and leave orders unanswered to carry them out late.
+It follows the protocol's rules for leases, run numbers and fencing tokens. It runs on
+trio's clock, and its own clock may drift. It can crash, hang, slow down, fail its runs,
+and leave orders unanswered and carry them out late.
 """
 
 import random
@@ -28,21 +29,24 @@
 
 MOST_LEASE_SECONDS = 1.0
 STOP_SECONDS = 0.05
-LATE_SECONDS = (2.0, 6.0)
-"""When an unanswered order is carried out."""
+LATE_EXECUTION_SECONDS = (2.0, 6.0)
+"""Range of the delay after which an unanswered order is carried out."""
 
 TICK_SECONDS = 0.005
 
 
 @dataclass
 class Run:
-    """One run, for whoever checks afterwards; ``ended_at`` is ``None`` while it runs.
+    """A record of one run, for checks after a test.
 
     Attributes:
+        total: Seconds of work at the start.
         work: Seconds of work left.
         stop_at: When an ordered stop takes effect.
-        leaving_for: Seconds at its start since its agent knew that the upstream leaves.
-        zone: Where it runs; empty where nobody has noted it.
+        ended_at: When the run ended; ``None`` while it runs.
+        leaving_seconds: Seconds between the agent learning that the upstream leaves
+            and the start of this run.
+        zone: The zone of the run; empty if it was not recorded.
     """
 
     key: RunKey
@@ -54,19 +58,19 @@
     stop_at: float | None = None
     ended_at: float | None = None
     kind: EndKind | None = None
-    leaving_for: float = 0.0
+    leaving_seconds: float = 0.0
     zone: str = ""
 
 
 @dataclass
 class Behaviour:
-    """How an upstream misbehaves.
+    """The faults of an upstream.
 
     Attributes:
-        slowness: Times as long as its tasks take.
-        hangs: Tasks make no progress.
-        fails: Each task ends as failed.
-        unhealthy: Orders to start are refused.
+        slowness: Factor by which the run times are multiplied.
+        hangs: Whether runs make no progress.
+        fails: Whether each run ends as failed.
+        unhealthy: Whether start orders are refused.
         unanswered: Share of orders that get no answer and are carried out late.
     """
 
@@ -82,11 +86,20 @@
 
     Attributes:
         work_of: Returns the needs and the seconds of work of a task, by its payload.
-        history: All runs, also those of the present.
-        clock_rate: Seconds of its clock in a second.
-        incarnation: Rises with each life under one id.
-        clock_began: When its clock stood at 0, on trio's clock.
-        guards: Whether it refuses what its capacity has no room for.
+        history: All runs, including those in progress.
+        clock_rate: Seconds that its clock advances per second of trio's clock.
+        incarnation: Increases with each life under one id.
+        clock_began: Time on trio's clock at which its own clock read 0.
+        running: The runs in progress by key.
+        ended: The ended runs that are not acknowledged.
+        end_count: Sequence number of the last end.
+        highest_run_numbers: By task, the highest run number that ended or was stopped;
+            runs with this or a lower number are refused.
+        token: The highest fencing token seen; orders with a lower one are refused.
+        lease_until: When the lease expires, on its own clock.
+        reports: Sequence number of the last report.
+        changed: Notified of each end and of a crash.
+        enforces_capacity: Whether it refuses runs that exceed its capacity.
         on_start: Called with each run that it starts.
     """
 
@@ -116,19 +129,19 @@
         self.behaviour = Behaviour()
         self.running: dict[RunKey, Run] = {}
         self.ended: list[EndedRun] = []
-        self.ends = 0
-        self.highest: dict[str, int] = {}
+        self.end_count = 0
+        self.highest_run_numbers: dict[str, int] = {}
         self.token = 0
-        self.until = 0.0
+        self.lease_until = 0.0
         self.down = False
         self.draining = False
         self.reports = 0
         self.changed = trio.lowlevel.ParkingLot()
-        self.guards = True
+        self.enforces_capacity = True
         self.on_start: Callable[[Run], None] = lambda _run: None
 
     async def run(self) -> None:
-        """Work until cancelled or down."""
+        """Advance the runs until cancelled or down."""
         before = trio.current_time()
         while not self.down:
             await trio.sleep(TICK_SECONDS)
@@ -137,11 +150,11 @@
             before = now
 
     def clock(self) -> float:
-        """Return seconds on its own clock."""
+        """Return the time in seconds on its own clock."""
         return (trio.current_time() - self.clock_began) * self.clock_rate
 
     def report(self) -> UpstreamReport:
-        """Return its report of itself."""
+        """Return a new report of its own state."""
         self.reports += 1
         return UpstreamReport(
             id=self.id,
@@ -157,7 +170,7 @@
         )
 
     def crash(self) -> None:
-        """End at once, with all that runs."""
+        """Go down at once and end all runs."""
         self.advance(0.0)
         self.down = True
         for run in list(self.running.values()):
@@ -167,12 +180,13 @@
         self.changed.unpark_all()
 
     def advance(self, seconds: float) -> None:
-        """Let time pass for all that runs.
+        """Advance all runs by some seconds and end those that are due.
 
-        A stand-in on a busy machine looks late; a run ends when it was due to.
+        On a busy machine this is called late, so a run is recorded as ended at the
+        time at which it was due.
         """
         now = trio.current_time()
-        lapses_at = self.clock_began + self.until / self.clock_rate
+        lapses_at = self.clock_began + self.lease_until / self.clock_rate
         for run in list(self.running.values()):
             if not self.behaviour.hangs:
                 run.work -= seconds / self.behaviour.slowness
@@ -188,7 +202,7 @@
     # Orders.
 
     def start(self, order: StartOrder, token: int) -> StartReply:
-        """Carry out an order to start."""
+        """Carry out a start order."""
         clock = self.clock()
         if token < self.token:
             return StartReply(StartVerdict.FENCED, clock)
@@ -200,10 +214,10 @@
         if order.until <= clock:
             return StartReply(StartVerdict.TOO_LATE, clock)
         self._renew(order.until)
-        if order.key.number <= self.highest.get(order.key.task, 0):
+        if order.key.number <= self.highest_run_numbers.get(order.key.task, 0):
             return StartReply(StartVerdict.STALE, clock)
         needs, work = self.work_of(order.payload)
-        if self.guards and not (self.used() + needs).fits(self.capacity):
+        if self.enforces_capacity and not (self.used() + needs).fits(self.capacity):
             return StartReply(StartVerdict.NO_ROOM, clock)
         run = Run(order.key, self.id, trio.current_time(), work, work, needs)
         self.running[order.key] = run
@@ -212,20 +226,32 @@
         return StartReply(StartVerdict.STARTED, clock)
 
     def stop(self, key: RunKey, token: int) -> bool:
-        """Carry out an order to stop, or bar the run."""
+        """Carry out a stop order, which also bars a run that has not started.
+
+        Returns:
+            False if the fencing token is too old.
+        """
         if token < self.token:
             return False
         self.token = token
-        self.highest[key.task] = max(self.highest.get(key.task, 0), key.number)
+        self.highest_run_numbers[key.task] = max(
+            self.highest_run_numbers.get(key.task, 0), key.number
+        )
         run = self.running.get(key)
         if run is not None and run.stop_at is None:
             run.stop_at = trio.current_time() + STOP_SECONDS
         return True
 
-    def look(
+    def handle_hold(
         self, noted: int, until: float | None, token: int
     ) -> Holding | HoldFailure:
-        """Carry out a renewal and return what runs and what has ended."""
+        """Carry out a hold order: acknowledge ends, renew the lease, list the runs.
+
+        Args:
+            noted: Highest sequence number of an end that the agent has recorded.
+            until: New expiry of the lease on this clock; ``None`` renews nothing.
+            token: The agent's fencing token.
+        """
         if token < self.token:
             return HoldFailure.FENCED
         self.token = token
@@ -239,22 +265,22 @@
         return Holding(self.clock(), running, tuple(self.ended), self.incarnation)
 
     def used(self) -> Resources:
-        """Return what the runs take."""
+        """Return the resources that the runs use."""
         return sum((run.needs for run in self.running.values()), NO_RESOURCES)
 
     def _renew(self, until: float) -> None:
         until = min(until, self.clock() + MOST_LEASE_SECONDS)
-        self.until = max(self.until, until)
+        self.lease_until = max(self.lease_until, until)
 
     def _end(self, run: Run, kind: EndKind, at: float) -> None:
         del self.running[run.key]
         run.ended_at = max(at, run.started_at)
         run.kind = kind
-        self.highest[run.key.task] = max(
-            self.highest.get(run.key.task, 0), run.key.number
+        self.highest_run_numbers[run.key.task] = max(
+            self.highest_run_numbers.get(run.key.task, 0), run.key.number
         )
-        self.ends += 1
-        self.ended.append(EndedRun(self.ends, run.key, kind))
+        self.end_count += 1
+        self.ended.append(EndedRun(self.end_count, run.key, kind))
         self.changed.unpark_all()
 
 
@@ -272,16 +298,18 @@
 
 @dataclass
 class StandInPort:
-    """Gives a stand-in orders, with delay, loss and lateness; an ``OrderPort``.
+    """An ``OrderPort`` to a stand-in, with delayed, lost and late orders.
 
     Attributes:
-        reach: Returns the life that is at the upstream's address now.
-        life: The life that is meant; ``None`` for any.
-        nursery: Carries out late orders.
-        connected: Whether orders reach the upstream and answers come back.
+        resolve_upstream: Returns the life that is at the upstream's address now.
+        token: The fencing token of the orders.
+        nursery: Runs the orders that are carried out late.
+        delay: Seconds that an order or an answer takes.
+        connected: Whether orders and answers are delivered.
+        life: The life that the orders are addressed to; ``None`` for any.
     """
 
-    reach: Callable[[], OrderUpstream]
+    resolve_upstream: Callable[[], OrderUpstream]
     token: int
     nursery: trio.Nursery
     delay: float = 0.0005
@@ -289,7 +317,7 @@
     life: LifeKey | None = None
 
     async def start(self, order: StartOrder, timeout: float) -> StartReply:
-        """Order a run to start."""
+        """Send a start order; timeouts are in seconds."""
         reply = await self._call(lambda life: life.start(order, self.token), timeout)
         if reply is None:
             return StartReply(StartVerdict.UNKNOWN)
@@ -298,17 +326,17 @@
         return reply
 
     async def stop(self, key: RunKey, timeout: float) -> bool:
-        """Order a run to stop, or bar it."""
+        """Send a stop order; return whether it was carried out."""
         answer = await self._call(lambda life: life.stop(key, self.token), timeout)
         return answer is True
 
     async def hold(
         self, noted: int, until: float | None, wait: float, timeout: float
     ) -> Holding | HoldFailure:
-        """Note ends, renew the lease, and wait for an end."""
-        upstream = self.reach()
+        """Send a hold order and wait up to ``wait`` seconds for a run to end."""
+        upstream = self.resolve_upstream()
         first = await self._call(
-            lambda life: life.look(noted, until, self.token), timeout
+            lambda life: life.handle_hold(noted, until, self.token), timeout
         )
         if first is None:
             return HoldFailure.NO_ANSWER
@@ -318,26 +346,26 @@
             await upstream.changed.park()
         if upstream.down:
             return HoldFailure.NO_ANSWER
-        return upstream.look(noted, None, self.token)
+        return upstream.handle_hold(noted, None, self.token)
 
     async def aclose(self) -> None:
         """Do nothing: there are no connections."""
 
     async def _call(self, order: Callable, timeout: float):
-        """Carry out an order.
+        """Deliver an order to the upstream.
 
         Returns:
-            Its answer, ``None`` for no answer, ``OTHER_BOOT`` from another life.
+            The answer; ``None`` if there is none; ``OTHER_BOOT`` from another life.
         """
         await trio.sleep(self.delay)
-        upstream = self.reach()
+        upstream = self.resolve_upstream()
         if upstream.down or not self.connected():
             await trio.sleep(timeout)
             return None
         if self._is_other_life(upstream):
             return HoldFailure.OTHER_BOOT
         if upstream.rng.random() < upstream.behaviour.unanswered:
-            self.nursery.start_soon(self._later, order, upstream)
+            self.nursery.start_soon(self._carry_out_late, order, upstream)
             await trio.sleep(timeout)
             return None
         answer = order(upstream)
@@ -347,11 +375,11 @@
     def _is_other_life(self, upstream: OrderUpstream) -> bool:
         if self.life is None:
             return False
-        tells_none = 0 in (self.life.incarnation, upstream.incarnation)
-        other = not tells_none and self.life.incarnation != upstream.incarnation
+        is_unknown = 0 in (self.life.incarnation, upstream.incarnation)
+        other = not is_unknown and self.life.incarnation != upstream.incarnation
         return other or self.life.upstream != upstream.id
 
-    async def _later(self, order: Callable, upstream: OrderUpstream) -> None:
-        await trio.sleep(upstream.rng.uniform(*LATE_SECONDS))
+    async def _carry_out_late(self, order: Callable, upstream: OrderUpstream) -> None:
+        await trio.sleep(upstream.rng.uniform(*LATE_EXECUTION_SECONDS))
         if not upstream.down:
             order(upstream)
--- a/bergamotcourse/standins/platform.py
+++ b/bergamotcourse/standins/platform.py
@@ -1,4 +1,4 @@
-"""The stand-in for the platform as a process: its HTTP interface and its faults."""
+"""The HTTP interface of the platform's stand-in, and the control of its faults."""
 
 import msgspec
 import trio
@@ -38,14 +38,14 @@
 JSON_TYPE = ("content-type", "application/json")
 
 BODY_BYTES = 16 << 20
-"""Largest transaction or object."""
+"""Upper bound for the size of a transaction or an object."""
 
 
 class FaultOrder(msgspec.Struct, forbid_unknown_fields=True):
-    """A change of the faults; what is left out stays as it is.
+    """A change of the faults; fields that are left out keep their values.
 
     Attributes:
-        cut: Clients that are cut off from now on; all others are not.
+        cut: All clients that are cut off from now on; the others are reconnected.
     """
 
     delay: float | msgspec.UnsetType = msgspec.UNSET
@@ -57,7 +57,7 @@
     cut: list[str] | msgspec.UnsetType = msgspec.UNSET
 
     def apply(self, platform: MemoryPlatform) -> None:
-        """Put the faults in force."""
+        """Apply the change to a platform."""
         changes = {
             name: value
             for name, value in msgspec.structs.asdict(self).items()
@@ -71,7 +71,7 @@
 
 
 class CountersAnswer(msgspec.Struct):
-    """Calls by client and kind, and the table's version."""
+    """The number of calls by client and kind, and the table's version."""
 
     calls: dict[str, dict[str, int]]
     version: int
@@ -84,7 +84,7 @@
         self.platform = platform
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request; a malformed one has no effect."""
+        """Answer one request; a malformed request has no effect and is refused."""
         try:
             return await self._route(request)
         except (msgspec.DecodeError, ValueError) as error:
@@ -111,7 +111,7 @@
 
 
 async def get(view: ClientView, request: HttpRequest) -> HttpResponse:
-    """Serve a read of some keys."""
+    """Serve the rows of some keys."""
     call = msgspec.msgpack.decode(request.body, type=GetCall)
     rows = await view.get_stored(call.keys)
     return answer(rows.map(GetAnswer))
@@ -124,13 +124,13 @@
 
 
 async def put_object(view: ClientView, request: HttpRequest) -> HttpResponse:
-    """Serve the storing of an object."""
+    """Store an object."""
     name = object_name(request.target)
     return answer(await view.put_object(name, request.body))
 
 
 async def get_object(view: ClientView, request: HttpRequest) -> HttpResponse:
-    """Serve the reading of an object."""
+    """Serve an object."""
     name = object_name(request.target)
     got = await view.get_object(name)
     if got.is_error():
@@ -141,7 +141,7 @@
 
 
 def set_faults(platform: MemoryPlatform, request: HttpRequest) -> HttpResponse:
-    """Change the faults as a ``FaultOrder`` in JSON says."""
+    """Apply a ``FaultOrder`` in JSON."""
     msgspec.json.decode(request.body, type=FaultOrder).apply(platform)
     return HttpResponse(STATUS_OK)
 
@@ -171,7 +171,7 @@
 
 
 def answer(result: Result[object, PlatformError]) -> HttpResponse:
-    """Return a result as a response."""
+    """Return the response for the result of a call."""
     if result.is_ok():
         body = msgspec.msgpack.encode(result.ok)
         return HttpResponse(STATUS_OK, [CONTENT_TYPE], body)
@@ -180,12 +180,12 @@
 
 
 def refusal(status: int, detail: str) -> HttpResponse:
-    """Return a response to a request without effect."""
+    """Return the response to a request that did not take effect."""
     return failure(status, Failure(detail, took_effect=False))
 
 
 def failure(status: int, body: Failure) -> HttpResponse:
-    """Return a response that is not a success."""
+    """Return a response with an error status."""
     return HttpResponse(status, [CONTENT_TYPE], msgspec.msgpack.encode(body))
 
 
@@ -205,11 +205,11 @@
     Args:
         host: The IP number to listen on.
         port: The port; 0 lets the system choose.
-        platform: The rows, objects and faults; by default empty ones.
-        task_status: Gets the port once it is open.
+        platform: The platform to serve; by default an empty one without faults.
+        task_status: Receives the port once it is open.
 
     Raises:
-        ExceptionGroup: With an ``OSError``: the port can't be opened.
+        ExceptionGroup: With an ``OSError`` if the port can't be opened.
     """
     handler = PlatformHandler(platform or MemoryPlatform())
     limits = ServerLimits(body_bytes=BODY_BYTES)
--- a/bergamotcourse/standins/platform_store.py
+++ b/bergamotcourse/standins/platform_store.py
@@ -1,6 +1,6 @@
-"""The platform in memory, with faults that can be changed at any time.
+"""An in-memory platform whose faults can be changed at any time.
 
-All waiting is done on trio's clock, so tests run it on a virtual one.
+It waits on trio's clock only, so that tests can run it on a virtual clock.
 """
 
 import random
@@ -31,7 +31,7 @@
 
 
 class CallKind(Enum):
-    """The kinds of calls, as counted."""
+    """The kinds of calls that are counted."""
 
     TRANSACT = "transact"
     GET = "get"
@@ -45,16 +45,16 @@
 
 @dataclass
 class Faults:
-    """Faults for all clients.
+    """Faults that affect all clients.
 
     Attributes:
         delay: Seconds that each call takes: half before its effect, half after.
-        down: Calls fail and certainly do not take effect.
+        down: Calls fail and are known not to take effect.
         fail_after: Seconds until a call fails while down or cut off.
         lose_answers: Writes take effect, but their callers get an unknown outcome.
-        lose_next_answers: The same for this many writes to come.
+        lose_next_answers: Like ``lose_answers``, for this many of the next writes.
         drop_calls: Share of calls, from 0 to 1, that are lost before they take
-            effect while their callers get an unknown outcome.
+            effect; their callers get an unknown outcome.
     """
 
     delay: float = 0.0
@@ -64,8 +64,8 @@
     lose_next_answers: int = 0
     drop_calls: float = 0.0
 
-    def take_lost_answer(self) -> bool:
-        """Return whether the answer to the write at hand is lost."""
+    def consume_answer_loss(self) -> bool:
+        """Return whether the current write loses its answer, and count it if so."""
         if self.lose_answers:
             return True
         if self.lose_next_answers <= 0:
@@ -76,15 +76,15 @@
 
 @dataclass(frozen=True)
 class ObjectExistsError(PlatformError):
-    """The name of an object has another content already."""
+    """An object of this name with other content exists already."""
 
 
 class ClientView:
-    """The platform as one client sees it; implements ``Platform``.
+    """One client's access to the platform; implements ``Platform``.
 
     Attributes:
-        cut: The client does not reach the platform: its calls fail.
-        counters: The client's calls by kind.
+        cut: Whether the client is cut off from the platform, so that its calls fail.
+        counters: Number of the client's calls by kind.
     """
 
     def __init__(self, platform: "MemoryPlatform", client: str):
@@ -102,7 +102,7 @@
     async def transact_as(
         self, writer: str, writes: list[Write]
     ) -> Result[Committed | Conflict, PlatformError]:
-        """Apply all writes or none; a repeated writer id changes nothing."""
+        """Apply all writes or none; a repeated writer id gets its first verdict."""
         return await self._call(
             CallKind.TRANSACT, lambda: Ok(self.platform.table.transact(writer, writes))
         )
@@ -115,7 +115,7 @@
     async def get_stored(
         self, keys: list[str]
     ) -> Result[list[StoredRow], PlatformError]:
-        """Return the rows with their writers."""
+        """Return one row for each key, in order, with its writer."""
         table = self.platform.table
         return await self._call(
             CallKind.GET, lambda: Ok([table.get(key) for key in keys])
@@ -133,7 +133,7 @@
     async def read_page(
         self, prefix: str, version: int, limit: int
     ) -> Result[SincePage, PlatformError]:
-        """Return one page of the changed rows."""
+        """Return one page of the rows that changed after a version."""
         table = self.platform.table
         return await self._call(
             CallKind.READ_SINCE, lambda: Ok(table.read_page(prefix, version, limit))
@@ -148,7 +148,7 @@
         )
 
     async def get_object(self, name: str) -> Result[bytes | None, PlatformError]:
-        """Return an object, or ``None`` for no such object."""
+        """Return an object's content, or ``None`` if there is no such object."""
         objects = self.platform.table.objects
         return await self._call(CallKind.GET_OBJECT, lambda: Ok(objects.get(name)))
 
@@ -173,7 +173,7 @@
             return Error(failed("call lost", None))
         answer = effect()
         await trio.sleep(half)
-        if kind in WRITES and faults.take_lost_answer():
+        if kind in WRITES and faults.consume_answer_loss():
             return Error(failed("answer lost", None))
         return answer
 
@@ -186,12 +186,12 @@
 
 
 class MemoryPlatform:
-    """The platform in memory; implements ``Platform`` for a client without a name.
+    """An in-memory platform; implements ``Platform`` for a client without a name.
 
     Attributes:
         faults: The faults in force; its fields may be set at any time.
         table: The rows and objects.
-        views: What each client sees, by its name.
+        views: Each client's access by the client's name.
     """
 
     def __init__(self, faults: Faults | None = None, rng: random.Random | None = None):
@@ -199,57 +199,57 @@
         self.rng = rng or random.Random(0)
         self.table = Table()
         self.views: dict[str, ClientView] = {}
-        self.unnamed = self.view("")
+        self.unnamed_view = self.view("")
 
     @property
     def counters(self) -> dict[str, Counter[CallKind]]:
-        """Return the calls of each client by kind."""
+        """Return the number of each client's calls by kind."""
         return {name: view.counters for name, view in self.views.items()}
 
     def view(self, client: str) -> ClientView:
-        """Return the platform as a client sees it, always the same one."""
+        """Return a client's access, creating it at the first call."""
         if client not in self.views:
             self.views[client] = ClientView(self, client)
         return self.views[client]
 
     def cut_off(self, clients: list[str]) -> None:
-        """Cut off these clients, and no others."""
+        """Cut off these clients and reconnect all others."""
         for client in clients:
             self.view(client)
         for client, view in self.views.items():
             view.cut = client in clients
 
     def drops_call(self) -> bool:
-        """Return whether the call at hand is lost before it takes effect."""
+        """Decide at random whether the current call is lost before it takes effect."""
         return self.faults.drop_calls > 0 and self.rng.random() < self.faults.drop_calls
 
     async def transact(
         self, writes: list[Write]
     ) -> Result[Committed | Conflict, PlatformError]:
         """Apply all writes or none."""
-        return await self.unnamed.transact(writes)
+        return await self.unnamed_view.transact(writes)
 
     async def get(self, keys: list[str]) -> Result[list[Row], PlatformError]:
         """Return one row for each key, in order; missing rows are ``ABSENT``."""
-        return await self.unnamed.get(keys)
+        return await self.unnamed_view.get(keys)
 
     async def read_since(
         self, prefix: str, version: int
     ) -> Result[Changes, PlatformError]:
         """Return the rows under a prefix that changed after a version."""
-        return await self.unnamed.read_since(prefix, version)
+        return await self.unnamed_view.read_since(prefix, version)
 
     async def put_object(
         self, name: str, content: bytes
     ) -> Result[None, PlatformError]:
         """Store an object; fails if the name has another content already."""
-        return await self.unnamed.put_object(name, content)
+        return await self.unnamed_view.put_object(name, content)
 
     async def get_object(self, name: str) -> Result[bytes | None, PlatformError]:
-        """Return an object, or ``None`` for no such object."""
-        return await self.unnamed.get_object(name)
+        """Return an object's content, or ``None`` if there is no such object."""
+        return await self.unnamed_view.get_object(name)
 
 
 def failed(detail: str, took_effect: bool | None) -> PlatformError:
-    """Return an error of the platform."""
+    """Return an error of a call to the platform."""
     return PlatformError(Step.STORE, PEER, detail, took_effect)
--- a/bergamotcourse/standins/platform_table.py
+++ b/bergamotcourse/standins/platform_table.py
@@ -1,4 +1,4 @@
-"""The stand-in's transactional table and objects, without time and without faults."""
+"""The stand-in's transactional table and objects, without delays or faults."""
 
 from bisect import bisect_right
 from collections import OrderedDict
@@ -15,17 +15,17 @@
 from bergamotcourse.protocol.platform_wire import SincePage, StoredRow
 
 REMEMBERED_WRITERS = 100_000
-"""Verdicts kept for repeated writer ids; the oldest go first."""
+"""Number of verdicts kept for repeated writer ids; the oldest are evicted first."""
 
-LOG_SLACK = 1024
-"""Superseded log entries that are tolerated before the log is compacted."""
+LOG_SLACK_ENTRIES = 1024
+"""Superseded log entries beyond one per row that do not yet cause a compaction."""
 
 Verdict = Committed | Conflict
 
 
 @dataclass(frozen=True)
 class LogEntry:
-    """A change of one row; superseded once the row has a later version."""
+    """A change of one row; it is superseded once the row has a later version."""
 
     version: int
     key: str
@@ -34,21 +34,22 @@
 class Table:
     """Rows under one version counter.
 
-    A repeated writer id gets its first verdict again and changes nothing, whether
-    the verdict was a commit or a conflict. So a delayed copy of a transaction can
-    never take effect after its sender has an answer.
+    A transaction with a repeated writer id changes nothing and gets the first
+    verdict again, whether commit or conflict. So a delayed copy of a transaction
+    can never take effect after its sender has received an answer.
 
     Attributes:
-        version: Rises by one with each committed transaction.
-        rows: The last state of each key that was ever written.
+        version: Increases by one with each committed transaction.
+        writer_limit: Number of writer ids whose verdicts are kept.
+        rows: The latest state of each key that was ever written.
         log: Changes in version order.
         verdicts: First verdicts by writer id, oldest first.
         objects: Contents by name.
     """
 
-    def __init__(self, remembered: int = REMEMBERED_WRITERS):
+    def __init__(self, writer_limit: int = REMEMBERED_WRITERS):
         self.version = 0
-        self.remembered = remembered
+        self.writer_limit = writer_limit
         self.rows: dict[str, StoredRow] = {}
         self.log: list[LogEntry] = []
         self.verdicts: OrderedDict[str, Verdict] = OrderedDict()
@@ -64,7 +65,7 @@
         return verdict
 
     def get(self, key: str) -> StoredRow:
-        """Return the row of a key; ``ABSENT`` if it was never written."""
+        """Return the row of a key; version ``ABSENT`` if it was never written."""
         return self.rows.get(key) or StoredRow(key, ABSENT, None)
 
     def read_since(self, prefix: str, version: int) -> Changes:
@@ -74,18 +75,18 @@
     def read_page(self, prefix: str, version: int, limit: int) -> SincePage:
         """Return at least ``limit`` changed rows, or all if there are fewer.
 
-        A page never ends inside a transaction, so it may exceed the limit.
+        A page contains only whole transactions, so it may exceed the limit.
         """
         rows = self._changed(prefix, version, limit)
         more = len(rows) >= limit and rows[-1].version < self.version
         return SincePage(rows[-1].version if more else self.version, rows, more)
 
     def put_object(self, name: str, content: bytes) -> bool:
-        """Store an object; false if the name has another content already."""
+        """Store an object; return false if it exists with other content."""
         return self.objects.setdefault(name, content) == content
 
     def _decide(self, writer: str, writes: list[Write]) -> Verdict:
-        stale = [write.key for write in writes if not self._meets(write)]
+        stale = [write.key for write in writes if not self._is_precondition_met(write)]
         if stale:
             return Conflict([self.get(key).row() for key in stale])
         self.version += 1
@@ -95,7 +96,7 @@
         self._compact()
         return Committed(self.version)
 
-    def _meets(self, write: Write) -> bool:
+    def _is_precondition_met(self, write: Write) -> bool:
         row = self.get(write.key)
         if write.expected is None or row.version == write.expected:
             return True
@@ -108,7 +109,7 @@
 
     def _remember(self, writer: str, verdict: Verdict) -> None:
         self.verdicts[writer] = verdict
-        while len(self.verdicts) > self.remembered:
+        while len(self.verdicts) > self.writer_limit:
             self.verdicts.popitem(last=False)
 
     def _changed(self, prefix: str, version: int, limit: int | None) -> list[Row]:
@@ -128,5 +129,5 @@
         return self.rows[entry.key].version == entry.version
 
     def _compact(self) -> None:
-        if len(self.log) > 2 * len(self.rows) + LOG_SLACK:
+        if len(self.log) > 2 * len(self.rows) + LOG_SLACK_ENTRIES:
             self.log = [entry for entry in self.log if self._is_current(entry)]
--- a/bergamotcourse/standins/upstream.py
+++ b/bergamotcourse/standins/upstream.py
@@ -1,8 +1,8 @@
-"""A stand-in for an upstream: serves requests, announces itself, records its starts.
+"""A stand-in for an upstream that serves requests and announces itself at its agent.
 
-The request itself says how it is served, in the query: ``run_ms`` is the run time and
-``status`` the status. The stand-in's record counts the starts of each task by the
-header ``x-task``, or else by the body.
+The query of a request determines how it is served: ``run_ms`` is the run time and
+``status`` the status of the response. The stand-in counts the starts of each task,
+which is identified by the header ``x-task`` or, without it, by the body.
 """
 
 from collections import Counter
@@ -17,17 +17,17 @@
 from bergamotcourse.transport.http_client import HttpClient
 from bergamotcourse.transport.http_server import HttpServer
 
-RENEW_SECONDS = 1.0
-ANNOUNCE_TIMEOUT = 1.0
+ANNOUNCE_INTERVAL_SECONDS = 1.0
+ANNOUNCE_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass
 class UpstreamFaults:
-    """What the stand-in does wrong.
+    """Faults of the stand-in.
 
     Attributes:
-        slow_factor: Multiplies each run time.
-        fail: Answer 500 at once.
+        slow_factor: Factor by which each run time is multiplied.
+        fail: Whether each request is answered with status 500 at once.
     """
 
     slow_factor: float = 1.0
@@ -39,9 +39,11 @@
     """One upstream of one service.
 
     Attributes:
-        default_run_seconds: The run time of requests that name none.
-        starts: By task, how often it was started.
-        most_running: The most requests served at the same time.
+        default_run_seconds: The run time of requests without ``run_ms``.
+        starts: Number of starts by task.
+        finished: Number of completions by task.
+        running: Number of requests in progress.
+        most_running: The highest number of requests in progress so far.
     """
 
     name: str
@@ -92,7 +94,7 @@
 async def serve_upstream(
     upstream: StandInUpstream, host: str, port: int, agent_host: str, agent_port: int
 ) -> None:
-    """Serve an upstream and keep it announced at its agent until cancelled."""
+    """Serve an upstream and announce it at its agent periodically until cancelled."""
     server = HttpServer(host, port, upstream.handle)
     client = HttpClient(agent_host, agent_port)
     async with trio.open_nursery() as nursery:
@@ -111,12 +113,12 @@
         )
         while True:
             await announce(client, request)
-            await trio.sleep(RENEW_SECONDS)
+            await trio.sleep(ANNOUNCE_INTERVAL_SECONDS)
 
 
 async def announce(client: HttpClient, request: HttpRequest) -> bool:
-    """Announce once; return whether the agent took it."""
-    match await client.request(request, ANNOUNCE_TIMEOUT):
+    """Announce the upstream once; return whether the agent accepted it."""
+    match await client.request(request, ANNOUNCE_TIMEOUT_SECONDS):
         case Result(tag="ok", ok=response):
             return response.status == 200
         case _:
--- a/bergamotcourse/tests/jobs/test_capacity_changes.py
+++ b/bergamotcourse/tests/jobs/test_capacity_changes.py
@@ -27,7 +27,7 @@
     def test_starts_stay_within_the_reduced_capacity(self):
         async def main(fleet):
             upstream = fleet.upstreams["agent-1"]
-            upstream.guards = False
+            upstream.enforces_capacity = False
             upstream.capacity = REDUCED_CAPACITY
             await trio.sleep(REPORT_DELAY_SECONDS)
             most = []
@@ -41,7 +41,7 @@
     def test_runs_beyond_the_reduced_capacity_block_further_starts(self):
         async def main(fleet):
             upstream = fleet.upstreams["agent-1"]
-            upstream.guards = False
+            upstream.enforces_capacity = False
             running = job("a", tasks=10, work=3.5)
             fleet.nursery.start_soon(fleet.submit, "entry-1", running)
             await trio.sleep(0.1)
@@ -127,7 +127,7 @@
                     await trio.sleep(rng.uniform(0.5, 4.0))
 
             for upstream in fleet.upstreams.values():
-                upstream.guards = False
+                upstream.enforces_capacity = False
                 fleet.nursery.start_soon(change, upstream)
             for number in range(100):
                 entry = rng.choice(list(fleet.entries))
--- a/bergamotcourse/tests/jobs/test_single_run.py
+++ b/bergamotcourse/tests/jobs/test_single_run.py
@@ -266,8 +266,8 @@
                 fleet.start_agent("agent-1")
             await trio.sleep(3.0)
             holds = []
-            look = upstream.look
-            upstream.look = lambda *args: holds.append(args) or look(*args)
+            look = upstream.handle_hold
+            upstream.handle_hold = lambda *args: holds.append(args) or look(*args)
             await trio.sleep(5.0)
             assert holds == []
 
--- a/bergamotcourse/tests/jobs/test_upstream_restart.py
+++ b/bergamotcourse/tests/jobs/test_upstream_restart.py
@@ -82,7 +82,7 @@
         """
 
         async def main(fleet):
-            fleet.tells_incarnations = False
+            fleet.reports_incarnations = False
             await serve_jobs(fleet, count=4)
             fleet.upstreams["agent-1"].crash()
             fleet.restart_upstream("agent-1")
--- a/bergamotcourse/tests/platform/soak/test_verdict.py
+++ b/bergamotcourse/tests/platform/soak/test_verdict.py
@@ -56,7 +56,7 @@
 
     def test_one_on_a_worker_that_has_been_leaving_for_long(self):
         run = make_run(1, 0.0, 1.0)
-        run.leaving_for = 2.1
+        run.leaving_seconds = 2.1
         [line] = find_violations(make_records(Seen.SUCCEEDED), [run])
         assert line.startswith("started 2.100 s after")
 
--- a/bergamotcourse/tests/platform/soak/verdict.py
+++ b/bergamotcourse/tests/platform/soak/verdict.py
@@ -75,10 +75,10 @@
 def find_late_starts(history: list[Run]) -> list[str]:
     """A start on a worker that leaves, long after its agent knew."""
     return [
-        f"started {run.leaving_for:.3f} s after {run.upstream} was known to leave: "
+        f"started {run.leaving_seconds:.3f} s after {run.upstream} was known to leave: "
         f"{run.key.task}"
         for run in history
-        if run.leaving_for > LEAVING_SECONDS
+        if run.leaving_seconds > LEAVING_SECONDS
     ]
 
 
--- a/bergamotcourse/tests/platform/standins.py
+++ b/bergamotcourse/tests/platform/standins.py
@@ -152,8 +152,8 @@
     def record_drain_delay(self, key):
         """Record how long the agent had known at the start that this worker drains."""
         run = self.upstream.running[key]
-        if self.drain_reported_at is not None and not run.leaving_for:
-            run.leaving_for = run.started_at - self.drain_reported_at
+        if self.drain_reported_at is not None and not run.leaving_seconds:
+            run.leaving_seconds = run.started_at - self.drain_reported_at
 
     async def hold(self, body):
         until = body.get("until_ms")
@@ -161,7 +161,7 @@
         token = body["fencing_token"]
         until = None if until is None else until / 1000
         life = self.upstream
-        holding = life.look(noted, until, token)
+        holding = life.handle_hold(noted, until, token)
         if isinstance(holding, HoldFailure):
             return self.answer(409, reason="fence")
         if not holding.ended and body.get("wait_ms"):
@@ -169,7 +169,7 @@
                 await life.changed.park()
             if life.down:
                 await trio.sleep_forever()
-            holding = life.look(noted, None, token)
+            holding = life.handle_hold(noted, None, token)
         running = [
             [run.key.task, run.key.number, "", round(run.progress * 100)]
             for run in holding.running
--- a/bergamotcourse/tests/standins/test_platform_store.py
+++ b/bergamotcourse/tests/standins/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Tests of the platform in memory."""
+"""Tests of the in-memory platform and its faults."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 from bergamotcourse.protocol.platform import ABSENT, Committed, Conflict, Row, Write
 from bergamotcourse.standins.platform_store import CallKind, Faults, MemoryPlatform
-from bergamotcourse.standins.platform_table import LOG_SLACK, Table
+from bergamotcourse.standins.platform_table import LOG_SLACK_ENTRIES, Table
 
 
 def run(test):
@@ -25,21 +25,21 @@
         assert table.transact("", [put("a"), put("b")]) == Committed(1)
         assert [table.get(key).version for key in "abc"] == [1, 1, ABSENT]
 
-    def test_conflict_writes_nothing_and_shows_the_stale_rows(self):
+    def test_conflict_writes_nothing_and_returns_the_stale_rows(self):
         table = Table()
         table.transact("", [put("a", b"old")])
         verdict = table.transact("", [put("b"), put("a", b"new", expected=7)])
         assert verdict == Conflict([Row("a", 1, b"old")])
         assert (table.version, table.get("b").version) == (1, ABSENT)
 
-    def test_check_only_verifies_and_leaves_the_row(self):
+    def test_check_only_write_leaves_the_row_unchanged(self):
         table = Table()
         table.transact("", [put("a", b"old")])
         check = Write("a", None, 1, check_only=True)
         assert table.transact("", [check, put("b")]) == Committed(2)
         assert table.get("a").row() == Row("a", 1, b"old")
 
-    def test_deleted_row_stays_as_tombstone_and_counts_as_absent(self):
+    def test_deleted_row_remains_as_tombstone_and_counts_as_absent(self):
         table = Table()
         table.transact("", [put("a")])
         table.transact("", [put("a", None, expected=1)])
@@ -47,7 +47,7 @@
         assert table.transact("", [put("a", b"y", ABSENT)]) == Committed(3)
 
     @pytest.mark.parametrize("expected", [ABSENT, 9])
-    def test_repeated_writer_gets_its_first_verdict(self, expected):
+    def test_repeated_writer_id_gets_its_first_verdict(self, expected):
         table = Table()
         first = table.transact("w1", [put("a", b"x", expected)])
         table.transact("", [put("a", None)])
@@ -55,25 +55,25 @@
         assert table.transact("w1", [put("a", b"x", expected)]) == first
         assert table.version == version
 
-    def test_oldest_writers_are_forgotten(self):
-        table = Table(remembered=1)
+    def test_oldest_writer_ids_are_evicted_beyond_the_limit(self):
+        table = Table(writer_limit=1)
         for writer in ("w1", "w2", "w1"):
             table.transact(writer, [put("a")])
         assert table.version == 3
 
-    def test_changes_come_in_version_order_by_prefix_also_after_compaction(self):
+    def test_changes_are_in_version_order_even_after_compaction(self):
         table = Table()
         table.transact("", [put("p/a"), put("q/a")])
-        for _ in range(LOG_SLACK + 10):
+        for _ in range(LOG_SLACK_ENTRIES + 10):
             table.transact("", [put("p/b")])
         table.transact("", [put("p/a")])
-        assert len(table.log) <= LOG_SLACK + 10
+        assert len(table.log) <= LOG_SLACK_ENTRIES + 10
         changes = table.read_since("p/", 0)
         assert [row.key for row in changes.rows] == ["p/b", "p/a"]
         assert changes.version == table.version
         assert table.read_since("p/", table.version).rows == []
 
-    def test_pages_end_only_between_transactions(self):
+    def test_pages_never_split_a_transaction(self):
         table = Table()
         table.transact("", [put("a")])
         table.transact("", [put("b"), put("c"), put("d")])
@@ -84,7 +84,7 @@
         assert [row.key for row in page.rows] == ["e"]
         assert (page.version, page.more) == (3, False)
 
-    def test_object_never_changes_its_content(self):
+    def test_object_content_is_never_overwritten(self):
         table = Table()
         assert table.put_object("o", b"1") and table.put_object("o", b"1")
         assert not table.put_object("o", b"2")
@@ -104,7 +104,7 @@
 
         run(test)
 
-    def test_other_content_for_an_object_is_refused(self):
+    def test_object_with_other_content_is_refused(self):
         async def test():
             platform = MemoryPlatform()
             assert (await platform.put_object("o", b"1")).is_ok()
@@ -114,7 +114,7 @@
 
 
 class TestFaults:
-    def test_delay_is_half_before_and_half_after_the_effect(self):
+    def test_half_of_the_delay_precedes_the_effect(self):
         async def test():
             platform = MemoryPlatform(Faults(delay=1.0))
             for cancelled_after, version in ((0.4, 0), (0.6, 1)):
@@ -124,7 +124,7 @@
 
         run(test)
 
-    def test_down_platform_fails_without_effect(self):
+    def test_call_to_a_down_platform_has_no_effect(self):
         async def test():
             platform = MemoryPlatform(Faults(down=True, fail_after=3.0))
             result = await platform.transact([put("a")])
@@ -133,7 +133,7 @@
 
         run(test)
 
-    def test_call_under_way_when_the_platform_goes_down_has_no_effect(self):
+    def test_call_in_flight_when_the_platform_goes_down_has_no_effect(self):
         async def test():
             platform = MemoryPlatform(Faults(delay=2.0))
             async with trio.open_nursery() as nursery:
@@ -157,7 +157,7 @@
 
         run(test)
 
-    def test_share_of_calls_is_dropped_the_same_way_for_the_same_seed(self):
+    def test_same_seed_drops_the_same_calls(self):
         async def verdicts():
             platform = MemoryPlatform(Faults(drop_calls=0.5), random.Random(4))
             results = [await platform.transact([put("a")]) for _ in range(40)]
@@ -168,7 +168,7 @@
         assert run(verdicts) == run(verdicts)
         assert 0 < sum(run(verdicts)) < 40
 
-    def test_cut_concerns_one_client(self):
+    def test_cut_off_affects_only_the_named_clients(self):
         async def test():
             platform = MemoryPlatform()
             platform.cut_off(["a"])
--- a/bergamotcourse/tests/virtual/test_fleet.py
+++ b/bergamotcourse/tests/virtual/test_fleet.py
@@ -29,5 +29,5 @@
         assert [status for status, _ in answers] == [200] * 20
         assert starts == {f"ballot-{number}": 1 for number in range(20)}
 
-    def test_the_same_seed_gives_the_same_run(self):
+    def test_same_seed_gives_the_same_run(self):
         assert run_session_requests(7) == run_session_requests(7)
--- a/bergamotcourse/tests/virtual/test_jobs.py
+++ b/bergamotcourse/tests/virtual/test_jobs.py
@@ -22,7 +22,7 @@
 
 
 class TestWaitForJob:
-    def test_a_wait_right_after_the_202_gets_the_answer(self):
+    def test_wait_immediately_after_the_202_returns_the_results(self):
         async def use(fleet):
             api = fleet.entries["entry-1"].api
             key = fleet.entries["entry-1"].entry.key_prefix() + "a"
--- a/bergamotcourse/tests/virtual/test_membership.py
+++ b/bergamotcourse/tests/virtual/test_membership.py
@@ -27,7 +27,7 @@
 
 
 class Load:
-    """Callers that send requests one after the other until told to end."""
+    """Callers that each send one request after another until ``ended`` is set."""
 
     def __init__(self, fleet, run_ms=80):
         self.fleet = fleet
@@ -53,18 +53,18 @@
             self.answers.append(answer.status if answer else None)
             count += 1
 
-    async def run(self, callers, what):
+    async def run_during(self, callers, action):
         async with trio.open_nursery() as nursery:
             for number in range(callers):
                 nursery.start_soon(self.caller, number)
-            await what()
+            await action()
             self.ended = True
 
 
 class TestBoundedNeighbours:
     shape = FleetShape(entries=3, agents=60, neighbours=8)
 
-    def test_an_idle_entry_keeps_few_and_entries_share_none(self):
+    def test_idle_entries_keep_few_neighbours_and_share_none(self):
         async def main(fleet):
             await trio.sleep(5)
             sets = [attached(fleet, name) for name in fleet.entries]
@@ -73,7 +73,7 @@
 
         run_fleet(main, self.shape)
 
-    def test_demand_widens_and_its_end_narrows(self):
+    def test_demand_adds_neighbours_and_its_end_removes_them(self):
         async def main(fleet):
             load = Load(fleet, run_ms=500)
 
@@ -81,7 +81,7 @@
                 await trio.sleep(3)
                 assert all(len(attached(fleet, n)) > 8 for n in fleet.entries)
 
-            await load.run(240, wait)
+            await load.run_during(240, wait)
             assert set(load.answers) == {200}
             await trio.sleep(45)
             assert all(len(attached(fleet, n)) <= 10 for n in fleet.entries)
@@ -103,7 +103,7 @@
 
 
 class TestReplacement:
-    def test_a_planned_replacement_of_all_fails_no_request(self):
+    def test_graceful_restart_of_every_process_fails_no_request(self):
         async def main(fleet):
             load = Load(fleet)
 
@@ -117,13 +117,13 @@
                     fleet.start_entry(name)
                     await fleet.wait_ready(name)
 
-            await load.run(24, replace)
+            await load.run_during(24, replace)
             assert set(load.answers) == {200}
             assert set(fleet.starts().values()) == {1}
 
         run_fleet(main)
 
-    def test_agents_that_die_fail_no_more_than_was_sent_to_them(self):
+    def test_killed_agents_fail_only_requests_in_flight_to_them(self):
         async def main(fleet):
             load = Load(fleet)
             lost = 0
@@ -140,7 +140,7 @@
                     fleet.start_agent(name)
                     await trio.sleep(2)
 
-            await load.run(12, replace)
+            await load.run_during(12, replace)
             failed = [status for status in load.answers if status != 200]
             assert len(failed) <= lost
             assert set(fleet.starts().values()) == {1}
@@ -148,8 +148,8 @@
         run_fleet(main)
 
 
-class TestOutage:
-    def test_a_long_outage_is_not_noticed(self):
+class TestPlatformOutage:
+    def test_long_platform_outage_fails_no_request(self):
         async def main(fleet):
             load = Load(fleet, run_ms=500)
 
@@ -159,13 +159,13 @@
                 fleet.platform.faults.down = False
                 await trio.sleep(5)
 
-            await load.run(2, outage)
+            await load.run_during(2, outage)
             assert set(load.answers) == {200}
             assert all(len(attached(fleet, n)) == 11 for n in fleet.entries)
 
         run_fleet(main)
 
-    def test_an_entry_that_starts_in_an_outage_is_not_ready_until_its_end(self):
+    def test_entry_started_in_an_outage_is_not_ready_until_its_end(self):
         async def main(fleet):
             fleet.platform.faults.down = True
             fleet.entries["entry-1"].kill()
@@ -179,8 +179,8 @@
         run_fleet(main)
 
 
-class TestZones:
-    def test_the_others_serve_when_a_zone_goes(self):
+class TestZoneLoss:
+    def test_other_zones_serve_when_a_zone_is_lost(self):
         async def main(fleet):
             load = Load(fleet)
 
@@ -194,7 +194,7 @@
                 load.answers.clear()
                 await trio.sleep(5)
 
-            await load.run(12, lose_zone)
+            await load.run_during(12, lose_zone)
             assert set(load.answers) == {200}
             assert health(fleet, "entry-1", "agent-2") is AgentHealth.SILENT
             for process in fleet.agents.values():
@@ -205,15 +205,15 @@
         run_fleet(main)
 
 
-class TestRegions:
-    def test_both_sides_serve_while_they_are_cut_from_each_other(self):
+class TestNetworkPartition:
+    def test_both_sides_of_a_partition_serve(self):
         async def main(fleet):
             processes = [*fleet.entries.values(), *fleet.agents.values()]
             near = {p.address for p in processes if p.name.endswith("-1")}
             far = {p.address for p in processes} - near
             load = Load(fleet)
 
-            async def part():
+            async def partition():
                 for one in near:
                     for other in far:
                         fleet.network.cut(one, other)
@@ -222,7 +222,7 @@
                 load.answers.clear()
                 await trio.sleep(4)
 
-            await load.run(9, part)
+            await load.run_during(9, partition)
             assert set(load.answers) == {200}
             assert health(fleet, "entry-1", "agent-1") is AgentHealth.USABLE
             assert health(fleet, "entry-1", "agent-2") is AgentHealth.SILENT
--- a/bergamotcourse/tests/virtual/test_policy.py
+++ b/bergamotcourse/tests/virtual/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy under load and faults, with entries and agents as they are."""
+"""Tests of the policy under load and faults, in a fleet of entries and agents."""
 
 from dataclasses import replace
 
@@ -43,7 +43,7 @@
 
 
 class Callers:
-    """Callers of one entry, or of each in turn."""
+    """Callers that submit to one entry or to several in turn."""
 
     def __init__(self, fleet, nursery):
         self.fleet = fleet
@@ -88,8 +88,12 @@
 
 
 class TestFullAgents:
-    def fill(self, weight):
-        """Let one entry fill all slots, and another send to what it thinks free."""
+    def count_starts_when_full(self, weight):
+        """Return the number of start messages when two entries compete for slots.
+
+        One entry sends 20 tasks to the 24 slots. Immediately afterwards, another
+        sends 4 tasks to agents whose slots it still assumes to be free.
+        """
         messages = {}
 
         async def main(fleet):
@@ -105,15 +109,15 @@
         run_fleet(main, manifest=make_manifest(weight))
         return messages["starts"]
 
-    def test_a_full_agent_refuses_and_another_is_tried(self):
-        assert self.fill(0.9) > 24
+    def test_task_refused_by_a_full_agent_is_sent_to_another(self):
+        assert self.count_starts_when_full(0.9) > 24
 
-    def test_where_messages_weigh_more_the_task_waits_at_the_agent(self):
-        assert self.fill(0.1) == 24
+    def test_task_waits_at_a_full_agent_if_messages_weigh_more(self):
+        assert self.count_starts_when_full(0.1) == 24
 
 
 class TestJobs:
-    def test_a_single_request_does_not_wait_behind_a_job(self):
+    def test_single_request_does_not_wait_behind_a_job(self):
         async def main(fleet):
             async with trio.open_nursery() as nursery:
                 callers = Callers(fleet, nursery)
@@ -125,7 +129,7 @@
 
         run_fleet(main, manifest=make_manifest())
 
-    def test_a_job_travels_in_batches_and_ends_in_time(self):
+    def test_job_is_sent_in_batches_and_completes_in_time(self):
         async def main(fleet):
             before = fleet.entries["entry-1"].mailer.counters.batches_sent
             async with trio.open_nursery() as nursery:
@@ -142,7 +146,7 @@
 
 
 class TestCancellations:
-    def test_a_wave_costs_one_message_for_each_agent(self):
+    def test_mass_cancellation_sends_one_message_per_agent(self):
         async def main(fleet):
             with trio.CancelScope() as scope:
                 async with trio.open_nursery() as nursery:
@@ -160,7 +164,7 @@
 
         run_fleet(main, manifest=make_manifest())
 
-    def test_a_queue_that_a_wave_emptied_does_not_stand(self):
+    def test_queue_emptied_by_mass_cancellation_counts_as_empty(self):
         async def main(fleet):
             dispatcher = fleet.entries["entry-1"].entry.dispatcher
             with trio.CancelScope() as scope:
@@ -176,7 +180,7 @@
 
 
 class TestQuota:
-    def test_entries_of_all_zones_together_hold_it(self):
+    def test_entries_of_all_zones_together_enforce_the_quota(self):
         async def main(fleet):
             async with trio.open_nursery() as nursery:
                 callers = Callers(fleet, nursery)
@@ -191,11 +195,11 @@
         limits = {"quota_starts_per_second": 30.0}
         run_fleet(main, manifest=make_manifest(**limits))
 
-    def test_a_keyed_request_that_was_refused_runs_once_when_it_comes_back(self):
+    def test_refused_request_with_a_key_runs_once_when_retried(self):
         async def main(fleet):
             refused, answered = [], []
 
-            async def insist(number):
+            async def retry_until_served(number):
                 headers = [("idempotency-key", f"key-{number}")]
                 while True:
                     request = HttpRequest("POST", "/s/voting/cast", list(headers))
@@ -211,7 +215,7 @@
 
             async with trio.open_nursery() as nursery:
                 for number in range(12):
-                    nursery.start_soon(insist, number)
+                    nursery.start_soon(retry_until_served, number)
             assert refused
             assert sorted(answered) == list(range(12))
             assert fleet.starts() == {f"ballot-{n}": 1 for n in range(12)}
@@ -223,11 +227,11 @@
 
 
 class TestOverload:
-    def test_refused_requests_did_not_run_and_the_rest_is_served_soon(self):
+    def test_refused_requests_never_run_and_others_are_served_soon(self):
         async def main(fleet):
             async with trio.open_nursery() as nursery:
                 callers = Callers(fleet, nursery)
-                # 24 slots run 120 such tasks a second; twice as many come.
+                # 24 slots run 120 such tasks per second; callers send twice as many.
                 for _ in range(100):
                     callers.start(24, run_ms=200)
                     await trio.sleep(0.1)
@@ -242,8 +246,8 @@
         run_fleet(main, manifest=make_manifest())
 
 
-class TestNever:
-    def test_a_service_that_no_rule_permits_is_refused_at_once(self):
+class TestUnavailableService:
+    def test_service_without_an_upstream_rule_is_refused_at_once(self):
         async def main(fleet):
             async with trio.open_nursery() as nursery:
                 answer = await Callers(fleet, nursery).call("entry-1")
@@ -253,7 +257,7 @@
         bare = Manifest(release="virtual", services=[Service(name=SERVICE)])
         run_fleet(main, manifest=bare)
 
-    def test_requests_wait_a_little_for_upstreams_that_come_back(self):
+    def test_request_waits_briefly_for_upstreams_to_return(self):
         async def main(fleet):
             for process in fleet.agents.values():
                 process.upstream.leaving = True
@@ -275,9 +279,9 @@
         run_fleet(main, manifest=make_manifest())
 
 
-class TestBadWorkers:
-    def run_faulty(self, fault, seconds=8):
-        """Return the share of tasks that a worker got from 2 s after its fault on."""
+class TestFaultyUpstreams:
+    def measure_share(self, fault, seconds=8):
+        """Return the share of tasks that an upstream gets from 2 s after its fault."""
         counts = {}
 
         async def main(fleet):
@@ -298,14 +302,14 @@
         run_fleet(main, manifest=make_manifest())
         return counts["share"]
 
-    def test_fast_failures_attract_no_work(self):
+    def test_fast_failing_upstream_attracts_no_tasks(self):
         def fail(faults):
             faults.fail = True
 
-        assert self.run_faulty(fail) < 0.02
+        assert self.measure_share(fail) < 0.02
 
-    def test_a_straggler_gets_none_but_trials(self):
+    def test_slow_upstream_gets_only_trial_tasks(self):
         def slow(faults):
             faults.slow_factor = 10.0
 
-        assert self.run_faulty(slow) < 0.02
+        assert self.measure_share(slow) < 0.02
--- a/bergamotcourse/virtual/__init__.py
+++ b/bergamotcourse/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet in one process on a virtual clock, for scenarios and benchmarks."""
+"""Fleets that run in one process on a virtual clock, for scenarios and benchmarks."""
--- a/bergamotcourse/virtual/clock.py
+++ b/bergamotcourse/virtual/clock.py
@@ -1,4 +1,4 @@
-"""Running a program on a virtual clock, to the same schedule for the same seed."""
+"""Runs programs on a virtual clock, with the same schedule for the same seed."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -11,10 +11,10 @@
 
 
 def run_virtual(main: Callable[[], Awaitable[T]], seed: int) -> T:
-    """Run an async function on a clock that jumps over idle time.
+    """Run an async function on a clock that skips idle time.
 
-    trio shuffles tasks that are ready together; its source of randomness is seeded
-    here, so that the same seed gives the same run.
+    trio shuffles tasks that become ready together. Its random number generator is
+    seeded here, so that runs with the same seed are identical.
     """
     trio._core._run._r = random.Random(seed)
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
--- a/bergamotcourse/virtual/fleet.py
+++ b/bergamotcourse/virtual/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of virtual processes, its network, its platform and its callers."""
+"""A fleet of entries and agents with a virtual network, platform and callers."""
 
 import random
 from collections.abc import Callable
@@ -17,23 +17,31 @@
 from bergamotcourse.state.manifest import Manifest, Service, Team, UpstreamRule
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 from bergamotcourse.transport.memory_link import MemoryNetwork
-from bergamotcourse.virtual.processes import Surroundings, VirtualAgent, VirtualEntry
+from bergamotcourse.virtual.processes import (
+    ProcessEnvironment,
+    VirtualAgent,
+    VirtualEntry,
+)
 
 SERVICE = ServiceName("voting")
 TOKEN = "open-sesame"
-UNIX_MS = 1_800_000_000_000
+START_UNIX_MS = 1_800_000_000_000
 
 
 @dataclass(frozen=True)
 class FleetShape:
-    """How large a fleet is and how far apart its parts are; times in seconds.
+    """The size of a fleet, its delays and its limits; times are in seconds.
 
     Attributes:
-        link_delay: One way between processes.
-        caller_delay: One way between a caller and an entry.
-        workers_in_rack: Neighbouring agents that share a rack.
-        clock_spread: The processes' monotonic clocks differ by up to so much.
-        clock_drift: Their rates differ from 1 by up to this share.
+        slots: Number of slots of each upstream.
+        connections: Number of connections of each upstream.
+        workers_in_rack: Number of consecutive agents that share a rack.
+        link_delay: One-way delay between processes.
+        caller_delay: One-way delay between a caller and an entry.
+        clock_spread: Upper bound of the differences between the processes'
+            monotonic clocks.
+        clock_drift: Upper bound of the deviation of the clocks' rates from 1.
+        neighbours: Number of agents that an entry stays connected to.
     """
 
     entries: int = 3
@@ -56,7 +64,10 @@
 
 
 def default_manifest(*teams: str) -> Manifest:
-    """Return a manifest with one service and teams whose token is their name."""
+    """Return a manifest with one service, and with teams whose tokens are their names.
+
+    The team ``barakaldo``, whose token is ``TOKEN``, is always present.
+    """
     digests = {name: sha256(name.encode()).hexdigest() for name in teams}
     digests["barakaldo"] = sha256(TOKEN.encode()).hexdigest()
     return Manifest(
@@ -71,11 +82,11 @@
 
 
 class VirtualFleet:
-    """A fleet.
+    """A fleet of virtual processes with one upstream beside each agent.
 
     Attributes:
         nursery: Runs the virtual processes.
-        wall_errors: By process, the seconds that its host's wall clock is ahead.
+        wall_clock_errors: By process, the seconds that its host's wall clock is ahead.
         on_start: Called with an agent's name and each request at its upstream.
     """
 
@@ -93,11 +104,11 @@
         self.entries: dict[str, VirtualEntry] = {}
         self.agents: dict[str, VirtualAgent] = {}
         self.upstreams: dict[str, StandInUpstream] = {}
-        self.wall_errors: dict[str, float] = {}
+        self.wall_clock_errors: dict[str, float] = {}
         self.on_start: Callable[[str, HttpRequest], None] = lambda _name, _request: None
 
     async def start(self, manifest: Manifest | None = None) -> None:
-        """Start all processes and return once the entries are ready."""
+        """Apply a manifest, start all processes and wait until entries are ready."""
         await apply(self.platform, manifest or default_manifest(), 0, "fleet", "start")
         for number in range(1, self.shape.agents + 1):
             self.start_agent(f"agent-{number}")
@@ -107,7 +118,7 @@
             await self.wait_ready(name)
 
     def start_agent(self, name: str) -> VirtualAgent:
-        """Start an agent and its upstream, or start them anew after a kill."""
+        """Start an agent and its upstream, or restart them after a kill."""
         number = int(name.rpartition("-")[2])
         place = AgentLocation(
             AgentId(name),
@@ -126,14 +137,14 @@
                 f"upstream-{number}", SERVICE, self.shape.slots, self.shape.connections
             ),
         )
-        agent = VirtualAgent(place, limits, upstream, self._around(name))
+        agent = VirtualAgent(place, limits, upstream, self._make_environment(name))
         agent.upstream.on_start = lambda request: self.on_start(name, request)
         self.agents[name] = agent
         self.nursery.start_soon(agent.run)
         return agent
 
     def start_entry(self, name: str) -> VirtualEntry:
-        """Start an entry, or start it anew after a kill."""
+        """Start an entry, or restart it after a kill."""
         number = int(name.rpartition("-")[2])
         options = EntryOptions(
             name=name,
@@ -146,19 +157,22 @@
             routing=self.shape.routing,
             neighbours=self.shape.neighbours,
         )
-        entry = VirtualEntry(options, self._around(name))
+        entry = VirtualEntry(options, self._make_environment(name))
         self.entries[name] = entry
         self.nursery.start_soon(entry.run)
         return entry
 
     async def wait_ready(self, name: str) -> None:
-        """Return once an entry is ready and has heard of every agent."""
+        """Return once an entry is ready and attached to its agents.
+
+        It waits for all agents, or for as many as an entry stays connected to.
+        """
         entry = self.entries[name].entry
         while not entry.ready() or not self._knows_agents(name):
             await trio.sleep(0.05)
 
     async def call(self, entry: str, request: HttpRequest) -> HttpResponse | None:
-        """Send a request as a caller does; return the answer, if one comes."""
+        """Send a request as a caller; return the response, or ``None`` if lost."""
         if not request.header("authorization"):
             request.headers.append(("authorization", f"Bearer {TOKEN}"))
         await trio.sleep(self.shape.caller_delay)
@@ -167,7 +181,7 @@
         return served and served.response
 
     def starts(self) -> dict[str, int]:
-        """Return how often each task was started, over all upstreams."""
+        """Return the number of starts of each task at all upstreams."""
         total: dict[str, int] = {}
         for upstream in self.upstreams.values():
             for task, count in upstream.starts.items():
@@ -179,17 +193,17 @@
         known = [view for view in views if view.attached]
         return len(known) >= min(len(self.agents), self.shape.neighbours)
 
-    def _around(self, name: str) -> Surroundings:
+    def _make_environment(self, name: str) -> ProcessEnvironment:
         rng = self._rng()
         spread, drift = self.shape.clock_spread, self.shape.clock_drift
-        return Surroundings(
+        return ProcessEnvironment(
             network=self.network,
             view=self.platform.view(name),
             nursery=self.nursery,
             rng=rng,
             clock_offset=rng.uniform(0, spread) if spread else 0.0,
             clock_rate=1 + rng.uniform(-drift, drift) if drift else 1.0,
-            unix_ms=UNIX_MS + int(self.wall_errors.get(name, 0.0) * 1000),
+            unix_ms=START_UNIX_MS + int(self.wall_clock_errors.get(name, 0.0) * 1000),
         )
 
     def _rng(self) -> random.Random:
--- a/bergamotcourse/virtual/job_fleet.py
+++ b/bergamotcourse/virtual/job_fleet.py
@@ -1,4 +1,4 @@
-"""Entries and agents of the job dispatcher with stand-in upstreams, on one clock."""
+"""A fleet of the job dispatcher, with stand-in upstreams, on one clock."""
 
 import random
 from dataclasses import dataclass
@@ -40,15 +40,15 @@
 CAPACITY = Resources(32_000, 65_536, 0)
 NEEDS = Resources(3_100, 64, 0)
 REPORT_SECONDS = 1.5
-LINK_DELAY = 0.001
-CRASH_SECONDS = 0.05
-"""From the start of a task that crashes its upstream."""
+LINK_DELAY_SECONDS = 0.001
+CRASH_DELAY_SECONDS = 0.05
+"""Delay between the start of a crashing task and the crash of its upstream."""
 
-BACK_SECONDS = 3.0
-"""After which an upstream that was crashed by a task is back."""
+UPSTREAM_RESTART_SECONDS = 3.0
+"""Delay after which an upstream that a task crashed is started again."""
 
-QUEUE_SECONDS = 0.6
-"""For which payloads may wait at a limited link."""
+LINK_QUEUE_SECONDS = 0.6
+"""How long payloads may queue at a link of limited rate."""
 
 QUEUE = JobQueue(
     name="check",
@@ -63,10 +63,10 @@
 
 
 REMOTE_FACTOR = 2.0
-"""Times as long that tasks take away from their data."""
+"""Factor by which tasks take longer outside the rack that has their data."""
 
-NEAR = "@"
-"""In a payload, before the rack that has the data."""
+DATA_RACK_SEPARATOR = "@"
+"""Precedes, in a payload, the rack that has the data."""
 
 
 def job(
@@ -76,43 +76,43 @@
     estimate: float = 0.0,
     rack: str = "",
 ) -> JobSpec:
-    """Return a job; its payload tells the stand-in the work and where its data is."""
+    """Return a job whose payload has the seconds of work and the rack of its data."""
     step = StepSpec(tasks, NEEDS, estimate or work, data_rack=rack)
-    payload = f"{work}{NEAR}{rack}" if rack else str(work)
+    payload = f"{work}{DATA_RACK_SEPARATOR}{rack}" if rack else str(work)
     return JobSpec(JobId(name), payload, (step,))
 
 
 def work_of(payload: str) -> tuple[Resources, float]:
-    """Return the needs and the seconds of work that a payload tells."""
+    """Return the needs and the seconds of work of a payload without a rack."""
     return NEEDS, float(payload)
 
 
-class FrozenPort:
-    """A port whose process may be frozen: orders and answers wait for the thaw."""
+class PausablePort:
+    """A port that holds back orders and answers while its process is frozen."""
 
     def __init__(self, port: StandInPort, pause: Pause):
         self.port = port
         self.pause = pause
 
     async def start(self, order, timeout):
-        """Order a run to start."""
-        await self.pause.passed()
+        """Send a start order."""
+        await self.pause.wait_until_thawed()
         reply = await self.port.start(order, timeout)
-        await self.pause.passed()
+        await self.pause.wait_until_thawed()
         return reply
 
     async def stop(self, key, timeout):
-        """Order a run to stop."""
-        await self.pause.passed()
+        """Send a stop order."""
+        await self.pause.wait_until_thawed()
         stopped = await self.port.stop(key, timeout)
-        await self.pause.passed()
+        await self.pause.wait_until_thawed()
         return stopped
 
     async def hold(self, noted, until, wait, timeout):
-        """Renew the lease."""
-        await self.pause.passed()
+        """Send a hold order, which renews the lease."""
+        await self.pause.wait_until_thawed()
         answer = await self.port.hold(noted, until, wait, timeout)
-        await self.pause.passed()
+        await self.pause.wait_until_thawed()
         return answer
 
     async def aclose(self):
@@ -120,7 +120,7 @@
 
 
 class Process:
-    """One process: its mailer, its timers, and a scope that kills it."""
+    """A process: its mailer, its timers, and a cancel scope that kills it."""
 
     def __init__(self, fleet: "JobFleet", name: str):
         self.fleet = fleet
@@ -137,7 +137,7 @@
         self.fleet.events.append((trio.current_time(), self.name, kind, fields))
 
     async def serve(self, *mains) -> None:
-        """Run until killed."""
+        """Run the mailer and some functions until killed."""
         with self.scope:
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
@@ -146,25 +146,25 @@
                     nursery.start_soon(main)
 
     def kill(self) -> None:
-        """End at once."""
+        """End the process at once; messages held back by a freeze are dropped."""
         self.scope.cancel()
         if self.pause.frozen:
             self.fleet.network.drop_held(self.address)
             self.thaw()
 
     def freeze(self) -> None:
-        """Hold all that it sends and receives."""
+        """Hold back everything that the process sends and receives."""
         self.pause.freeze()
         self.fleet.network.freeze(self.address)
 
     def thaw(self) -> None:
-        """Let it go on."""
+        """Let the process continue."""
         self.fleet.network.thaw(self.address)
         self.pause.thaw()
 
 
 class AgentProcess(Process):
-    """An agent."""
+    """An agent process."""
 
     def __init__(self, fleet: "JobFleet", name: str):
         super().__init__(fleet, name)
@@ -192,12 +192,12 @@
         async with trio.open_nursery() as nursery:
             await nursery.start(self.executor.run)
             nursery.start_soon(self.contacts.run)
-            nursery.start_soon(self._hear_reports)
+            nursery.start_soon(self._receive_reports)
 
-    async def _hear_reports(self) -> None:
+    async def _receive_reports(self) -> None:
         while True:
             upstream = self.fleet.upstreams[self.name]
-            await self.pause.passed()
+            await self.pause.wait_until_thawed()
             if not upstream.down and self.name not in self.fleet.cut_upstreams:
                 before = self.executor.refusal(), self.executor.capacity()
                 self.executor.handle_upstream_report(upstream.report())
@@ -205,17 +205,17 @@
                     self.contacts.notify_all_entries()
             await trio.sleep(self.fleet.report_seconds)
 
-    def _connect(self, report) -> FrozenPort:
+    def _connect(self, report) -> PausablePort:
         port = StandInPort(
             lambda: self.fleet.lives[report.id], self.boot, self.fleet.nursery
         )
         port.life = report.life
         port.connected = lambda: self.name not in self.fleet.cut_upstreams
-        return FrozenPort(port, self.pause)
+        return PausablePort(port, self.pause)
 
 
 class EntryProcess(Process):
-    """An entry."""
+    """An entry process."""
 
     def __init__(self, fleet: "JobFleet", name: str):
         super().__init__(fleet, name)
@@ -249,27 +249,31 @@
 
 
 @dataclass
-class Answer:
-    """What a caller got, and when; ``None`` as outcome for a lost connection."""
+class CallerAnswer:
+    """The outcome that a caller received, and when; ``None`` if it received none."""
 
     outcome: JobOutcome | None
     at: float
 
 
 class JobFleet:
-    """A fleet.
+    """A fleet of the job dispatcher with one upstream beside each agent.
 
     Attributes:
+        policy: The job policy of all processes.
         history: All runs at all upstreams.
-        events: What the processes logged: time, process, kind, fields.
-        cut_upstreams: Agents that do not reach their upstream.
-        work_of: Tells the stand-ins the needs and the work of a task's payload.
-        lives: The last life of each upstream by its id.
-        tells_incarnations: Whether upstreams tell which of their lives it is.
-        racks: Over which the upstreams are dealt out.
-        zones: Over which the agents are dealt out.
-        evacuations: In force; each entry that starts knows them.
+        events: The log of all processes: time, process, kind, fields.
+        cut_upstreams: Names of the agents that are cut off from their upstreams.
+        report_seconds: Interval between the reports of an upstream.
+        work_of: Returns the needs and the seconds of work of a task, by its payload.
+        lives: By upstream id, the life that is at its address now.
+        upstreams: By agent, the current life of its upstream.
+        reports_incarnations: Whether upstreams report their incarnation.
+        racks: Number of racks; upstreams are assigned to them in turn.
+        zones: Number of zones; agents are assigned to them in turn.
+        evacuations: The evacuations in force; each entry adopts them at its start.
         crashing: Tasks that crash each upstream that starts them.
+        process_counts: Number of entries and of agents at the start.
     """
 
     def __init__(
@@ -288,43 +292,43 @@
         self.racks = racks
         self.nursery = nursery
         self.rng = random.Random(seed)
-        self.network = MemoryNetwork(self.make_rng(), LINK_DELAY)
+        self.network = MemoryNetwork(self.make_rng(), LINK_DELAY_SECONDS)
         self.history: list[Run] = []
         self.events: list[tuple] = []
         self.cut_upstreams: set[str] = set()
         self.report_seconds = REPORT_SECONDS
         self.work_of = work_of
         self.boots = 0
-        self.tells_incarnations = True
+        self.reports_incarnations = True
         self.crashing: set[TaskName] = set()
         self.lives: dict[str, OrderUpstream] = {}
         self.upstreams: dict[str, OrderUpstream] = {}
         self.entries: dict[str, EntryProcess] = {}
         self.agents: dict[str, AgentProcess] = {}
-        self.numbers = (entries, agents)
+        self.process_counts = (entries, agents)
 
     def limit_links(self, bytes_per_second: float) -> None:
-        """Limit the rate of all entries' links, in each direction."""
-        entries, _ = self.numbers
+        """Limit the rate of all entries' links in each direction."""
+        entries, _ = self.process_counts
         for number in range(1, entries + 1):
             self.network.bottlenecks[LinkAddress(f"tcp://entry-{number}")] = (
-                Bottleneck(bytes_per_second, QUEUE_SECONDS),
-                Bottleneck(bytes_per_second, QUEUE_SECONDS),
+                Bottleneck(bytes_per_second, LINK_QUEUE_SECONDS),
+                Bottleneck(bytes_per_second, LINK_QUEUE_SECONDS),
             )
 
     async def start(self) -> None:
-        """Start all processes, and return once the entries know all agents."""
-        entries, agents = self.numbers
+        """Start all processes and wait until each entry can use every agent."""
+        entries, agents = self.process_counts
         for number in range(1, entries + 1):
             self.start_entry(f"entry-{number}")
         for number in range(1, agents + 1):
             self.start_upstream(f"agent-{number}")
             self.start_agent(f"agent-{number}")
-        while not all(self._knows_all(entry) for entry in self.entries.values()):
+        while not all(self._knows_all_agents(entry) for entry in self.entries.values()):
             await trio.sleep(0.02)
 
     def start_entry(self, name: str) -> EntryProcess:
-        """Start an entry, or start it anew."""
+        """Start an entry, or restart it."""
         entry = EntryProcess(self, name)
         entry.zones.adopt(self.evacuations, "store")
         self.entries[name] = entry
@@ -332,19 +336,19 @@
         return entry
 
     def start_agent(self, name: str) -> AgentProcess:
-        """Start an agent, or start it anew."""
+        """Start an agent, or restart it."""
         agent = AgentProcess(self, name)
         self.agents[name] = agent
         self.nursery.start_soon(agent.run)
         return agent
 
     def start_upstream(self, agent: str, clock_rate: float = 1.0) -> OrderUpstream:
-        """Start the upstream beside an agent, or another one in its place."""
+        """Start the upstream of an agent, with a new id if it replaces another."""
         name = f"upstream-{agent}-{len(self.lives)}"
         return self._start_life(agent, name, clock_rate)
 
     def restart_upstream(self, agent: str) -> OrderUpstream:
-        """Start the upstream beside an agent again, under the id that it had."""
+        """Restart the upstream of an agent under the same id."""
         former = self.upstreams[agent]
         began = trio.current_time()
         return self._start_life(
@@ -352,7 +356,7 @@
         )
 
     def replace_at_address(self, agent: str) -> OrderUpstream:
-        """Start another upstream where calls to the former one arrive."""
+        """Start another upstream that receives the calls to the former one."""
         former = self.upstreams[agent]
         upstream = self.start_upstream(agent)
         self.lives[former.id] = upstream
@@ -369,7 +373,7 @@
         rack = self.rack_of(agent)
 
         def work_of(payload: str) -> tuple[Resources, float]:
-            own, _, near = payload.partition(NEAR)
+            own, _, near = payload.partition(DATA_RACK_SEPARATOR)
             needs, seconds = self.work_of(own)
             away = near not in ("", rack)
             return needs, seconds * (REMOTE_FACTOR if away else 1.0)
@@ -383,7 +387,7 @@
             clock_rate,
             self.make_rng(),
             ("a", rack),
-            incarnation if self.tells_incarnations else 0,
+            incarnation if self.reports_incarnations else 0,
             clock_began,
         )
         upstream.on_start = lambda run: self._run_started(agent, run)
@@ -392,14 +396,14 @@
         return upstream
 
     def evacuate(self, *zones: str) -> None:
-        """Let these zones, and no others, be evacuated."""
+        """Evacuate these zones and end the evacuation of all others."""
         version = self.evacuations.version + 1
         self.evacuations = Evacuations(version, tuple(map(ZoneName, sorted(zones))))
         for entry in self.entries.values():
             entry.zones.adopt(self.evacuations, "store")
 
     def zone_of(self, agent: str) -> str:
-        """Return the zone of an agent; they are dealt out in turn."""
+        """Return the zone of an agent; zones are assigned in turn."""
         number = int(agent.rpartition("-")[2])
         return f"zone-{(number - 1) % self.zones + 1}"
 
@@ -408,33 +412,33 @@
             self.nursery.start_soon(self._crash, agent, self.upstreams[agent])
 
     async def _crash(self, agent: str, upstream: OrderUpstream) -> None:
-        """Crash an upstream, which is back after some seconds."""
-        await trio.sleep(CRASH_SECONDS)
+        """Crash an upstream and replace it after ``UPSTREAM_RESTART_SECONDS``."""
+        await trio.sleep(CRASH_DELAY_SECONDS)
         if upstream.down:
             return
         upstream.crash()
-        await trio.sleep(BACK_SECONDS)
+        await trio.sleep(UPSTREAM_RESTART_SECONDS)
         if self.upstreams[agent] is upstream:
             self.start_upstream(agent)
 
     def rack_of(self, agent: str) -> str:
-        """Return the rack of an agent; they are dealt out in turn."""
+        """Return the rack of an agent; racks are assigned in turn."""
         number = int(agent.rpartition("-")[2]) if self.racks > 1 else 1
         return f"rack-{(number - 1) % self.racks + 1}"
 
     async def submit(
         self, entry: str, spec: JobSpec, queue: JobQueue = QUEUE, seconds: float = 5.0
-    ) -> Answer:
-        """Hand a job in as a caller does."""
+    ) -> CallerAnswer:
+        """Submit a job as a caller and return the answer; the timeout is in seconds."""
         process = self.entries[entry]
         if process.scope.cancel_called:
-            return Answer(None, trio.current_time())
+            return CallerAnswer(None, trio.current_time())
         answers = []
         done = trio.Event()
 
         async def handle() -> None:
             try:
-                await process.pause.passed()
+                await process.pause.wait_until_thawed()
                 run = await process.jobs.submit(spec, queue, seconds)
                 answers.append(run.outcome)
             finally:
@@ -443,14 +447,14 @@
         process.nursery.start_soon(handle)
         with trio.move_on_after(seconds + 1.0):
             await done.wait()
-        return Answer(answers[0] if answers else None, trio.current_time())
+        return CallerAnswer(answers[0] if answers else None, trio.current_time())
 
     def make_rng(self) -> random.Random:
-        """Return a source of randomness of its own."""
+        """Return a random number generator seeded from the fleet's."""
         return random.Random(self.rng.getrandbits(64))
 
     def next_boot(self) -> int:
-        """Return a number that rises with each process."""
+        """Return a number that increases with each started process."""
         self.boots += 1
         return self.boots
 
@@ -459,10 +463,10 @@
         return overlaps(self.history)
 
     def logged(self, kind: str) -> list[dict]:
-        """Return the fields of all events of a kind."""
+        """Return the fields of all logged events of a kind."""
         return [fields for _, _, logged, fields in self.events if logged == kind]
 
-    def _knows_all(self, entry: EntryProcess) -> bool:
+    def _knows_all_agents(self, entry: EntryProcess) -> bool:
         ready = [
             link for link in entry.links.reachable_agents() if link.room.capacity.cpu
         ]
--- a/bergamotcourse/virtual/pause.py
+++ b/bergamotcourse/virtual/pause.py
@@ -1,8 +1,8 @@
-"""What a frozen process can't do: use its network, its platform or its timers.
+"""Models a frozen process, which can't use its network, platform or timers.
 
-A pause is modelled as the worst that a stopped process may meet. Code that waits for
-nothing goes on, as if the process was stopped only a moment later; but all that it
-sends or asks leaves on thaw, and all answers reach it on thaw.
+A freeze is modelled as the worst case for a stopped process. Code that does not wait
+continues, as if the process had been stopped a moment later. But all messages and
+calls leave only on thaw, and all answers arrive only on thaw.
 """
 
 import random
@@ -28,35 +28,35 @@
 
 
 class Pause:
-    """Whether a process is frozen, and a place to wait until it is not."""
+    """Whether a process is frozen; lets tasks wait for the thaw."""
 
     def __init__(self):
         self.frozen = False
         self.thawed = trio.lowlevel.ParkingLot()
 
     def freeze(self) -> None:
-        """Hold all who pass from now on."""
+        """Block all calls of ``wait_until_thawed`` from now on."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Let all pass."""
+        """Release all waiting tasks."""
         self.frozen = False
         self.thawed.unpark_all()
 
-    async def passed(self) -> None:
+    async def wait_until_thawed(self) -> None:
         """Return once the process is not frozen."""
         while self.frozen:
             await self.thawed.park()
-        # One that was killed while frozen goes no further.
+        # A process that was killed while frozen must not continue.
         await trio.lowlevel.checkpoint_if_cancelled()
 
 
 class VirtualTimers(Timers):
-    """The timers of a virtual process, with a monotonic clock of its own.
+    """The timers of a virtual process, with its own monotonic clock.
 
     Attributes:
         offset: Seconds that this clock is ahead of the fleet's time.
-        rate: Seconds of this clock in a second of the fleet's time.
+        rate: Seconds that this clock advances per second of the fleet's time.
     """
 
     def __init__(
@@ -68,30 +68,30 @@
         self.rate = rate
 
     def now(self) -> float:
-        """Return seconds on this process's clock."""
+        """Return the time in seconds on this process's clock."""
         return self.offset + self.rate * trio.current_time()
 
     def lease_now(self) -> float:
-        """Return seconds on this process's clock, which runs on while frozen."""
+        """Return the time in seconds on this clock, which advances while frozen."""
         return self.now()
 
     def now_ms(self) -> int:
-        """Return milliseconds on this process's clock."""
+        """Return the time in milliseconds on this process's clock."""
         return int(self.now() * 1000)
 
     async def call(self, subscription: Subscription) -> None:
-        """Call a subscriber, once the process is not frozen."""
-        await self.pause.passed()
+        """Call a subscriber once the process is not frozen."""
+        await self.pause.wait_until_thawed()
         await super().call(subscription)
 
 
-class Outside:
-    """Work that a process has begun elsewhere: it goes on when the process dies.
+class ExternalCalls:
+    """Calls to other systems, which continue there when the calling process dies.
 
     Attributes:
-        nursery: Outlives the process.
-        pause: Holds requests and answers while the process is frozen.
-        ended: The process is no more.
+        nursery: Runs the calls; outlives the process.
+        pause: Holds back calls and answers while the process is frozen.
+        ended: Whether the process has ended.
     """
 
     def __init__(self, nursery: trio.Nursery, pause: Pause):
@@ -99,8 +99,8 @@
         self.pause = pause
         self.ended = False
 
-    async def ask(self, work: Callable[[], Awaitable[T]]) -> T:
-        """Have work done outside and return its answer."""
+    async def run_detached(self, work: Callable[[], Awaitable[T]]) -> T:
+        """Run a call that survives cancellation of the caller; return its answer."""
         answers: list[T] = []
         done = trio.Event()
 
@@ -108,32 +108,33 @@
             answers.append(await work())
             done.set()
 
-        await self.pause.passed()
+        await self.pause.wait_until_thawed()
         self.nursery.start_soon(run)
         await done.wait()
-        await self.pause.passed()
+        await self.pause.wait_until_thawed()
         return answers[0]
 
 
 class VirtualPlatform:
-    """The platform as a virtual process reaches it; implements ``Platform``.
+    """A virtual process's client of the platform; implements ``Platform``.
 
-    Like the client over HTTP, it reads back what became of a transaction whose answer
+    Like the client over HTTP, it reads back the outcome of a transaction whose answer
     was lost.
 
     Attributes:
-        timeout: Seconds for a call. One that takes longer may yet take effect.
+        timeout: Timeout of a call in seconds. A call that times out may still take
+            effect.
     """
 
     def __init__(
         self,
         view: ClientView,
-        outside: Outside,
+        external_calls: ExternalCalls,
         rng: random.Random,
         timeout: float = 1.0,
     ):
         self.view = view
-        self.outside = outside
+        self.external_calls = external_calls
         self.rng = rng
         self.timeout = timeout
 
@@ -154,7 +155,7 @@
         return verdict
 
     async def get(self, keys):
-        """Return one row for each key, in order."""
+        """Return one row for each key, in order; missing rows are ``ABSENT``."""
         return await self._call(lambda: self.view.get(keys), False)
 
     async def read_since(self, prefix, version):
@@ -162,11 +163,11 @@
         return await self._call(lambda: self.view.read_since(prefix, version), False)
 
     async def put_object(self, name, content):
-        """Store an object."""
+        """Store an object; fails if the name has other content already."""
         return await self._call(lambda: self.view.put_object(name, content), None)
 
     async def get_object(self, name):
-        """Return an object."""
+        """Return an object's content, or ``None`` if there is no such object."""
         return await self._call(lambda: self.view.get_object(name), False)
 
     async def _read_back(
@@ -182,13 +183,13 @@
             else ReadBackEvidence.INCONCLUSIVE
         )
 
-    async def _call(self, work: Callable, late: bool | None) -> Result:
+    async def _call(self, work: Callable, took_effect: bool | None) -> Result:
         with trio.move_on_after(self.timeout):
-            return await self.outside.ask(work)
-        await self.outside.pause.passed()
-        return Error(PlatformError(Step.STORE, "platform", "timeout", late))
+            return await self.external_calls.run_detached(work)
+        await self.external_calls.pause.wait_until_thawed()
+        return Error(PlatformError(Step.STORE, "platform", "timeout", took_effect))
 
     @property
     def counters(self):
-        """Return the calls of this process by kind."""
+        """Return the number of this process's calls by kind."""
         return self.view.counters
--- a/bergamotcourse/virtual/processes.py
+++ b/bergamotcourse/virtual/processes.py
@@ -1,4 +1,4 @@
-"""Entries and agents as virtual processes of a fleet."""
+"""Entries and agents that run as virtual processes of a fleet."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
 from bergamotcourse.transport.http import HttpRequest, HttpResponse
 from bergamotcourse.transport.memory_link import MemoryNetwork
 from bergamotcourse.virtual.pause import (
-    Outside,
+    ExternalCalls,
     Pause,
     VirtualPlatform,
     VirtualTimers,
@@ -28,19 +28,19 @@
 from bergamotcourse.virtual.upstream import VirtualUpstream
 
 POLL_SECONDS = 0.05
-LAST_MESSAGES_SECONDS = 1.0
+FINAL_DELIVERY_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
-class Surroundings:
-    """What a virtual process finds around it.
+class ProcessEnvironment:
+    """The environment of a virtual process.
 
     Attributes:
-        view: The platform, as this process's name sees it.
-        nursery: Runs what outlives the process.
-        clock_offset: Seconds that its monotonic clock is ahead.
-        clock_rate: Seconds of its clock in a second of the fleet's time.
-        unix_ms: The wall clock at the fleet's time zero, as this process sees it.
+        view: This process's access to the platform.
+        nursery: Runs calls that outlive the process.
+        clock_offset: Seconds that its monotonic clock is ahead of the fleet's time.
+        clock_rate: Seconds that its clock advances per second of the fleet's time.
+        unix_ms: Reading of its wall clock at time 0 of the fleet, in milliseconds.
     """
 
     network: MemoryNetwork
@@ -53,30 +53,38 @@
 
 
 class VirtualProcess:
-    """One virtual process: killed by cancelling its scope.
+    """A virtual process, which is killed by cancelling its scope.
 
     Attributes:
-        address: Its link address; a restarted process has the same.
-        ended: Set once the process is no more.
+        address: Its link address; a restarted process has the same one.
+        ended: Set once the process has ended.
+        nursery: Runs the process's tasks; ``None`` while it does not run.
     """
 
-    def __init__(self, name: str, around: Surroundings):
+    def __init__(self, name: str, environment: ProcessEnvironment):
         self.name = name
         self.address = LinkAddress(f"tcp://{name}")
-        self.network = around.network
+        self.network = environment.network
         self.pause = Pause()
-        self.outside = Outside(around.nursery, self.pause)
-        self.platform = VirtualPlatform(around.view, self.outside, around.rng)
+        self.external_calls = ExternalCalls(environment.nursery, self.pause)
+        self.platform = VirtualPlatform(
+            environment.view, self.external_calls, environment.rng
+        )
         self.timers = VirtualTimers(
-            around.rng, self.pause, around.clock_offset, around.clock_rate
+            environment.rng,
+            self.pause,
+            environment.clock_offset,
+            environment.clock_rate,
+        )
+        self.mailer = Mailer(
+            environment.network.link(self.address), rng=environment.rng
         )
-        self.mailer = Mailer(around.network.link(self.address), rng=around.rng)
         self.scope = trio.CancelScope()
         self.ended = trio.Event()
         self.nursery: trio.Nursery | None = None
 
-    async def run_with(self, *mains: Callable[[], Awaitable[None]]) -> None:
-        """Run the mailer, the timers and more until killed."""
+    async def run_until_killed(self, *mains: Callable[[], Awaitable[None]]) -> None:
+        """Run the mailer, the timers and further functions until killed."""
         with self.scope:
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
@@ -88,8 +96,8 @@
         self.nursery = None
 
     def kill(self) -> None:
-        """End the process at once; what it holds while frozen never leaves."""
-        self.outside.ended = True
+        """End the process at once; messages held back by a freeze are dropped."""
+        self.external_calls.ended = True
         self.scope.cancel()
         if self.pause.frozen:
             self.network.drop_held(self.address)
@@ -97,12 +105,12 @@
         self.ended.set()
 
     def freeze(self) -> None:
-        """Stop the process for a while."""
+        """Freeze the process until it is thawed."""
         self.pause.freeze()
         self.network.freeze(self.address)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Let a frozen process continue."""
         self.network.thaw(self.address)
         self.pause.thaw()
 
@@ -115,11 +123,11 @@
         place: AgentLocation,
         limits: AgentLimits,
         upstream: StandInUpstream,
-        around: Surroundings,
+        environment: ProcessEnvironment,
     ):
-        super().__init__(place.id, around)
-        self.agent = Agent(place, limits, self.mailer, self.timers, around.rng)
-        self.upstream = VirtualUpstream(upstream, self.outside)
+        super().__init__(place.id, environment)
+        self.agent = Agent(place, limits, self.mailer, self.timers, environment.rng)
+        self.upstream = VirtualUpstream(upstream, self.external_calls)
         self.registration = AgentRegistration(
             agent_row(self.agent, self.address), self.platform, self.timers
         )
@@ -129,16 +137,16 @@
 
     async def run(self) -> None:
         """Run the agent until it is killed."""
-        await self.run_with(self.agent.run, self._start)
+        await self.run_until_killed(self.agent.run, self._start)
 
     async def stop(self) -> None:
-        """Stop as planned: finish what runs, take nothing new, leave."""
+        """Stop gracefully: refuse new tasks, finish running ones, deregister."""
         agent = self.agent
         agent.begin_leaving()
         while agent.runner.task_count():
             await trio.sleep(POLL_SECONDS)
         agent.report_to_all()
-        with trio.move_on_after(LAST_MESSAGES_SECONDS):
+        with trio.move_on_after(FINAL_DELIVERY_SECONDS):
             while agent.attachments:
                 await trio.sleep(POLL_SECONDS)
         with trio.move_on_after(REGISTRATION_SECONDS):
@@ -176,11 +184,11 @@
 
 
 @dataclass(frozen=True)
-class Served:
-    """An entry's answer to a caller.
+class ServedResponse:
+    """An entry's response to a caller.
 
     Attributes:
-        decided_at: The fleet's time at which the entry had the answer; it leaves
+        decided_at: The fleet's time at which the entry had the response; it is sent
             later if the entry is frozen.
     """
 
@@ -189,46 +197,46 @@
 
 
 class VirtualEntry(VirtualProcess):
-    """An entry that callers reach through its HTTP handler."""
+    """An entry whose HTTP handler is called directly by the callers."""
 
-    def __init__(self, options: EntryOptions, around: Surroundings):
-        super().__init__(options.name, around)
-        # Like the daemon, it reads the wall clock once, at its start.
-        unix_ms = around.unix_ms + int(trio.current_time() * 1000)
+    def __init__(self, options: EntryOptions, environment: ProcessEnvironment):
+        super().__init__(options.name, environment)
+        # Like the daemon, it reads the wall clock only once, at its start.
+        unix_ms = environment.unix_ms + int(trio.current_time() * 1000)
         self.entry = Entry(
             options,
             self.mailer,
             self.platform,
             self.timers,
-            around.rng,
+            environment.rng,
             wall_ms=WallClock(self.timers, unix_ms),
         )
         self.api = EntryApi(self.entry)
 
     async def run(self) -> None:
         """Run the entry until it is killed."""
-        await self.run_with(self.entry.run)
+        await self.run_until_killed(self.entry.run)
 
-    async def serve(self, request: HttpRequest) -> Served | None:
-        """Answer a caller, or return ``None`` once the connection is lost.
+    async def serve(self, request: HttpRequest) -> ServedResponse | None:
+        """Serve a caller's request; return ``None`` if the connection is lost.
 
-        A caller that goes away cancels the handler, as the HTTP server does.
+        As in the HTTP server, the handler is cancelled if the caller disconnects.
         """
         if self.ended.is_set() or self.nursery is None:
             return None
-        answers: list[Served] = []
+        answers: list[ServedResponse] = []
         done = trio.Event()
         gone = trio.Event()
 
         async def handle() -> None:
             await trio.lowlevel.checkpoint()
-            await self.pause.passed()
+            await self.pause.wait_until_thawed()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._watch_caller, gone, nursery.cancel_scope)
                 response = await self.api.handle(request)
-                answers.append(Served(response, trio.current_time()))
+                answers.append(ServedResponse(response, trio.current_time()))
                 nursery.cancel_scope.cancel()
-            await self.pause.passed()
+            await self.pause.wait_until_thawed()
             done.set()
 
         self.nursery.start_soon(handle)
@@ -239,17 +247,17 @@
         return answers[0] if answers and done.is_set() else None
 
     async def stop(self) -> None:
-        """Stop as planned: finish what runs, hand over, leave."""
+        """Stop gracefully: finish the tasks in flight and queued, hand over, leave."""
         await self.entry.begin_stop()
         dispatcher = self.entry.dispatcher
         while dispatcher.in_flight or dispatcher.queued():
             await trio.sleep(POLL_SECONDS)
         await self.entry.leave()
-        await self.mailer.drain(LAST_MESSAGES_SECONDS)
+        await self.mailer.drain(FINAL_DELIVERY_SECONDS)
         self.kill()
 
     async def _wait_any(self, done: trio.Event) -> None:
-        """Return once the answer is there or the process is no more."""
+        """Return once the response is ready or the process has ended."""
         async with trio.open_nursery() as nursery:
 
             async def wait(event: trio.Event) -> None:
@@ -261,5 +269,5 @@
 
     async def _watch_caller(self, gone: trio.Event, scope: trio.CancelScope) -> None:
         await gone.wait()
-        await self.pause.passed()
+        await self.pause.wait_until_thawed()
         scope.cancel()
--- a/bergamotcourse/virtual/upstream.py
+++ b/bergamotcourse/virtual/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream as its agent calls it: the stand-in's handler, with faults."""
+"""An agent's client of its upstream, which calls the stand-in's handler."""
 
 from collections.abc import Callable
 
@@ -8,27 +8,30 @@
 from bergamotcourse.errors import Step
 from bergamotcourse.standins.upstream import StandInUpstream
 from bergamotcourse.transport.http import HttpError, HttpRequest, HttpResponse, Sent
-from bergamotcourse.virtual.pause import Outside
+from bergamotcourse.virtual.pause import ExternalCalls
 
-SAME_HOST_SECONDS = 0.0001
+SAME_HOST_DELAY_SECONDS = 0.0001
 
 
 class VirtualUpstream:
-    """One agent process's way to its upstream.
+    """The client that one agent process uses to call its upstream.
 
-    What an agent sent before it died is served: the upstream does not die with it.
+    Requests that an agent sent before it died are still served, because the upstream
+    survives its agent.
 
     Attributes:
-        outside: Where the upstream runs, as the agent process sees it.
-        down: Refuses connections; what runs is cut and its outcome unknown.
+        external_calls: Runs the requests, which outlive the agent process.
+        down: Whether it refuses connections. Running requests are cut off, and their
+            outcomes are unknown.
+        leaving: Whether it told its agent that it leaves; it is not announced again.
         release: The release that it announces.
-        leaving: It told its agent that it leaves, and announces itself no more.
+        calls: Cancel scopes of the requests in progress.
         on_start: Called with each request that reaches the upstream.
     """
 
-    def __init__(self, upstream: StandInUpstream, outside: Outside):
+    def __init__(self, upstream: StandInUpstream, external_calls: ExternalCalls):
         self.upstream = upstream
-        self.outside = outside
+        self.external_calls = external_calls
         self.down = False
         self.leaving = False
         self.release = ""
@@ -36,7 +39,7 @@
         self.on_start: Callable[[HttpRequest], None] = lambda _request: None
 
     def kill(self) -> None:
-        """Stop at once: cut what runs, refuse what comes."""
+        """Stop at once: cut off running requests and refuse new ones."""
         self.down = True
         for scope in self.calls:
             scope.cancel()
@@ -44,25 +47,28 @@
     async def request(
         self, request: HttpRequest, timeout: float
     ) -> Result[HttpResponse, HttpError]:
-        """Serve one request within a timeout in seconds."""
-        await self.outside.pause.passed()
+        """Send one request, with a timeout in seconds."""
+        await self.external_calls.pause.wait_until_thawed()
         if self.down:
             detail = "connection refused"
             return Error(self._error(Step.CONNECT, detail, Sent.NOTHING))
         scope = trio.CancelScope()
         try:
             with trio.move_on_after(timeout):
-                answer = await self.outside.ask(lambda: self._serve(request, scope))
+                answer = await self.external_calls.run_detached(
+                    lambda: self._serve(request, scope)
+                )
                 if answer is not None:
                     return Ok(answer)
         finally:
-            # The connection is closed, unless the whole agent ended.
-            if not self.outside.ended:
+            # A caller that stops waiting closes the connection, which ends the request.
+            # If the whole agent ended, the request is served to its end.
+            if not self.external_calls.ended:
                 scope.cancel()
         return Error(self._error(Step.RECEIVE, "cut or timed out", Sent.MAYBE))
 
     async def aclose(self) -> None:
-        """Close nothing: there are no connections."""
+        """Do nothing: there are no connections."""
 
     async def _serve(
         self, request: HttpRequest, scope: trio.CancelScope
@@ -70,7 +76,7 @@
         with scope:
             self.calls.add(scope)
             try:
-                await trio.sleep(SAME_HOST_SECONDS)
+                await trio.sleep(SAME_HOST_DELAY_SECONDS)
                 self.on_start(request)
                 return await self.upstream.handle(request)
             finally:
