--- a/bergamotcourse/daemons/metrics.py
+++ b/bergamotcourse/daemons/metrics.py
@@ -43,7 +43,7 @@
     """The values of one timer since the last report, sampled by reservoir sampling.
 
     Attributes:
-        count: Number of values observed.
+        count: Number of values recorded.
         reservoir: Uniform random sample of the values, in milliseconds.
     """
 
