--- a/bergamotcourse/bench/__init__.py
+++ b/bergamotcourse/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that are run by hand; their figures stand in the docs."""
+"""Benchmarks that are run by hand; the documentation shows their results."""
--- a/bergamotcourse/bench/policy.py
+++ b/bergamotcourse/bench/policy.py
@@ -1,10 +1,10 @@
-"""Measure the policy under load and faults, on a virtual clock.
+"""Benchmarks the routing policy under load and faults, on a virtual clock.
 
-``python -m bergamotcourse.bench.policy`` prints a line a run, in some seconds.
-``--full`` runs all that the page docs/benchmarks/policy.md shows, in some minutes, and
-writes the page and its plot. Entries and agents run unchanged; the network, the
-platform, the upstreams and the time are virtual, so the same seed gives the same
-figures on any machine.
+``python -m bergamotcourse.bench.policy`` takes a few seconds and prints one line per
+run. ``--full`` takes a few minutes; it performs all runs of the page
+docs/benchmarks/policy.md and writes the page and its plot. Entries and agents run
+unchanged. The network, the platform, the upstreams and the time are virtual, so the
+same seed gives the same figures on any machine.
 """
 
 import logging
@@ -15,7 +15,7 @@
 import click
 
 from bergamotcourse.bench.policy_figures import Figures
-from bergamotcourse.bench.policy_report import ABLATED, write_report
+from bergamotcourse.bench.policy_report import ABLATION_FIGURES, write_report
 from bergamotcourse.bench.policy_run import Run, measure
 from bergamotcourse.bench.policy_scenarios import PRESETS, SCENARIOS
 from bergamotcourse.bench.policy_tables import Results
@@ -24,11 +24,11 @@
 QUICK_SCENARIOS = ("steady", "straggler", "black hole", "job alone", "over quota")
 QUICK_LOADS = (0.8,)
 QUICK_SECONDS = 10.0
-COMPARED = ("two choices", "ours")
+COMPARED_VARIANTS = ("two choices", "ours")
 
 
 def quick_runs(seeds: int, seconds: float) -> Iterator[Run]:
-    """Return some runs that show the most."""
+    """Return a small selection of the most informative runs."""
     for preset in PRESETS:
         for scenario in QUICK_SCENARIOS:
             for seed in range(1, seeds + 1):
@@ -38,7 +38,7 @@
 
 
 def full_runs(seeds: int, seconds: float) -> Iterator[Run]:
-    """Return all runs of the page."""
+    """Return all runs that the benchmark page shows."""
     plans = [
         (preset, variant.name, "steady", load)
         for preset in PRESETS
@@ -50,13 +50,15 @@
         for preset in PRESETS
         for scenario in SCENARIOS.values()
         for load in scenario.loads
-        for variant in COMPARED
+        for variant in COMPARED_VARIANTS
         if scenario.name != "steady"
     ]
     plans += [
         ("urnalia", variant.name, scenario, load)
         for variant in ABLATIONS
-        for scenario, load in dict.fromkeys((name, load) for name, load, _ in ABLATED)
+        for scenario, load in dict.fromkeys(
+            (name, load) for name, load, _ in ABLATION_FIGURES
+        )
     ]
     for plan in plans:
         for seed in range(1, seeds + 1):
@@ -66,18 +68,18 @@
 def chosen_runs(
     presets: str, variants: str, scenarios: str, loads: str, seeds: int, seconds: float
 ) -> Iterator[Run]:
-    """Return the runs that options name."""
-    for preset in _many(presets, PRESETS):
-        for name in _many(scenarios, SCENARIOS):
+    """Return the runs selected by the command-line options."""
+    for preset in _parse_names(presets, PRESETS):
+        for name in _parse_names(scenarios, SCENARIOS):
             of_scenario = SCENARIOS[name].loads
             for load in [float(x) for x in loads.split(",")] if loads else of_scenario:
-                for variant in _many(variants, VARIANTS):
+                for variant in _parse_names(variants, VARIANTS):
                     for seed in range(1, seeds + 1):
                         yield Run(preset, variant, name, load, seed, seconds)
 
 
-def _many(option: str, known) -> list[str]:
-    """Return the names of a comma-separated option, or all that are known."""
+def _parse_names(option: str, known) -> list[str]:
+    """Return the names in a comma-separated option, or all known names if empty."""
     names = option.split(",") if option else list(known)
     for name in names:
         if name not in known:
@@ -85,8 +87,8 @@
     return names
 
 
-def line(run: Run, got: Figures) -> str:
-    """Return one run's figures as a line."""
+def format_run(run: Run, got: Figures) -> str:
+    """Format the figures of one run as one line."""
     kinds = " ".join(f"{k}={v:.3f}" for k, v in got.messages.items())
     extra = " ".join(f"{k}={v:.3f}" for k, v in got.extra.items() if v)
     teams = " ".join(
@@ -102,16 +104,16 @@
 
 
 def measure_all(runs: list[Run], processes: int) -> Results:
-    """Run all, print a line each, and return the figures."""
+    """Perform all runs, print one line per run, and return the figures."""
     figures = {}
-    with ProcessPoolExecutor(processes, initializer=_be_quiet) as pool:
+    with ProcessPoolExecutor(processes, initializer=_disable_warnings) as pool:
         for run, got in zip(runs, pool.map(measure, runs), strict=True):
             figures[run] = got
-            click.echo(line(run, got))
+            click.echo(format_run(run, got))
     return Results(figures)
 
 
-def _be_quiet() -> None:
+def _disable_warnings() -> None:
     logging.disable(logging.WARNING)
 
 
--- a/bergamotcourse/bench/policy_bound.py
+++ b/bergamotcourse/bench/policy_bound.py
@@ -1,36 +1,37 @@
-"""What no way to route can beat: one queue that knows each free slot at once.
+"""A lower bound on response times: one central queue that knows every free slot.
 
-First come, first served, with no message and no delay but the round trip. It bounds
-what can be reached without knowing run times beforehand.
+Requests are served first come, first served, without messages and without delay other
+than the round trip. It bounds what routing can reach without knowing run times in
+advance.
 """
 
 import heapq
 import math
 
-from bergamotcourse.bench.policy_figures import Figures, Ratios
+from bergamotcourse.bench.policy_figures import Figures, ResponseRatios
 from bergamotcourse.bench.policy_load import arrivals
 from bergamotcourse.bench.policy_run import Run, ideal_seconds, stream_seed
 from bergamotcourse.bench.policy_scenarios import PRESETS, SCENARIOS
 
 
-def one_queue(run: Run) -> Figures:
-    """Return the figures of the single requests of a run."""
+def one_queue_bound(run: Run) -> Figures:
+    """Return the figures of a run's single requests under one central queue."""
     preset, scenario = PRESETS[run.preset], SCENARIOS[run.scenario]
     plan = scenario.plan(preset, run.load, run.seconds)
-    coming = heapq.merge(
+    pending = heapq.merge(
         *(arrivals(one, stream_seed(run, one, plan)) for one in plan.streams),
         key=lambda arrival: arrival.at,
     )
     free_at = [-math.inf] * (preset.agents * preset.slots)
-    to_lose = scenario.lost_agents * preset.slots
-    ratios = Ratios()
-    for arrival in coming:
-        if arrival.at >= scenario.lost_at and to_lose:
-            free_at = sorted(free_at)[to_lose:]
-            to_lose = 0
-        begun = max(arrival.at, free_at[0])
-        heapq.heapreplace(free_at, begun + arrival.run_seconds)
+    slots_to_remove = scenario.lost_agents * preset.slots
+    ratios = ResponseRatios()
+    for arrival in pending:
+        if arrival.at >= scenario.lost_at and slots_to_remove:
+            free_at = sorted(free_at)[slots_to_remove:]
+            slots_to_remove = 0
+        started_at = max(arrival.at, free_at[0])
+        heapq.heapreplace(free_at, started_at + arrival.run_seconds)
         if 0 <= arrival.at < run.seconds:
             ideal = ideal_seconds(preset, arrival.run_seconds)
-            ratios.add((begun - arrival.at + ideal) / ideal)
+            ratios.add((started_at - arrival.at + ideal) / ideal)
     return Figures(ratios.count, ratios.mean, ratios.at(50), ratios.at(99))
--- a/bergamotcourse/bench/policy_figures.py
+++ b/bergamotcourse/bench/policy_figures.py
@@ -1,4 +1,4 @@
-"""What one run of the policy benchmark measured."""
+"""Figures measured by one run of the policy benchmark."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,14 +6,14 @@
 from hdrh.histogram import HdrHistogram
 
 RATIO_SCALE = 1000
-"""Ratios are kept in thousandths."""
+"""Ratios are recorded in thousandths, as the histogram holds integers only."""
 
 HIGHEST_RATIO = 10_000 * RATIO_SCALE
 SIGNIFICANT_DIGITS = 3
 
 
-class Ratios:
-    """Ratios of response time to the ideal."""
+class ResponseRatios:
+    """Distribution of the ratios of response time to the ideal response time."""
 
     def __init__(self):
         self.histogram = HdrHistogram(1, HIGHEST_RATIO, SIGNIFICANT_DIGITS)
@@ -29,11 +29,11 @@
 
     @property
     def mean(self) -> float:
-        """Return the mean, or 0 where there is none."""
+        """Return the mean, or 0 without ratios."""
         return self.total / self.count if self.count else 0.0
 
     def at(self, percentile: float) -> float:
-        """Return the ratio at a percentile, or 0 where there is none."""
+        """Return the ratio at a percentile, or 0 without ratios."""
         if not self.count:
             return 0.0
         return self.histogram.get_value_at_percentile(percentile) / RATIO_SCALE
@@ -44,19 +44,19 @@
     """The figures of one run.
 
     Attributes:
-        tasks: Tasks of requests and jobs that came in the measured time.
-        mean: Mean ratio of response time to the ideal, of single requests done.
-        goodput: Tasks done a second.
+        tasks: Tasks of requests and jobs that arrived in the measured time.
+        mean: Mean ratio of response time to the ideal, over the single requests done.
+        goodput: Tasks done per second.
         refused: Share of the single requests answered "not run".
         broken: Share of the single requests with another outcome than done or not
             run: failed, unknown, or lost with their entry.
-        messages: Messages between processes a task, by kind.
-        envelopes: Envelopes a task.
-        bytes: Bytes a task.
-        platform_calls: Calls to the platform a task.
+        messages: Messages between processes per task, by kind.
+        envelopes: Envelopes per task.
+        bytes: Bytes per task.
+        platform_calls: Calls to the platform per task.
         team_p99: By team, the 99th percentile of the ratios.
-        team_done: By team, requests done a second.
-        extra: Figures of one scenario alone.
+        team_done: By team, requests done per second.
+        extra: Figures that only some scenarios have, by name.
     """
 
     tasks: int = 0
@@ -76,13 +76,13 @@
 
     @property
     def all_messages(self) -> float:
-        """Return the messages a task."""
+        """Return the number of messages of all kinds per task."""
         return sum(self.messages.values())
 
 
 @dataclass
 class Usage:
-    """What all processes had sent at one moment."""
+    """Totals that all processes have sent up to one moment."""
 
     messages: Counter[str]
     envelopes: int
--- a/bergamotcourse/bench/policy_load.py
+++ b/bergamotcourse/bench/policy_load.py
@@ -1,4 +1,4 @@
-"""The load of the policy benchmark: how long tasks run, and when they come."""
+"""The load of the policy benchmark: run times and arrival times of tasks."""
 
 import math
 import random
@@ -9,11 +9,14 @@
 from bergamotcourse.state.submission import Submission, SubmissionKind, TaskRequest
 
 SHORTEST_SECONDS = 0.05
-USUAL_SECONDS = 1.0
+TAIL_START_SECONDS = 1.0
 LONGEST_SECONDS = 5.0
 TAIL_SHARE = 0.03
-"""So many tasks run from ``USUAL_SECONDS`` to ``LONGEST_SECONDS``, the others from
-``SHORTEST_SECONDS`` to ``USUAL_SECONDS``; both evenly over the logarithm."""
+"""Share of tasks that run from ``TAIL_START_SECONDS`` to ``LONGEST_SECONDS``.
+
+The others run from ``SHORTEST_SECONDS`` to ``TAIL_START_SECONDS``. Run times are
+uniform over the logarithm within each range.
+"""
 
 SERVICE = ServiceName("voting")
 
@@ -23,29 +26,33 @@
 
 
 MEAN_SECONDS = (1 - TAIL_SHARE) * _log_uniform_mean(
-    SHORTEST_SECONDS, USUAL_SECONDS
-) + TAIL_SHARE * _log_uniform_mean(USUAL_SECONDS, LONGEST_SECONDS)
+    SHORTEST_SECONDS, TAIL_START_SECONDS
+) + TAIL_SHARE * _log_uniform_mean(TAIL_START_SECONDS, LONGEST_SECONDS)
 
 
 def draw_seconds(rng: random.Random) -> float:
-    """Return the run time of a task."""
-    low, high = SHORTEST_SECONDS, USUAL_SECONDS
+    """Draw the run time of a task, in seconds."""
+    low, high = SHORTEST_SECONDS, TAIL_START_SECONDS
     if rng.random() < TAIL_SHARE:
-        low, high = USUAL_SECONDS, LONGEST_SECONDS
+        low, high = TAIL_START_SECONDS, LONGEST_SECONDS
     return math.exp(rng.uniform(math.log(low), math.log(high)))
 
 
 @dataclass(frozen=True)
 class Stream:
-    """Single requests of one team, as a Poisson process.
+    """Single requests of one team, which arrive as a Poisson process.
 
     Attributes:
-        rate: Requests a second.
-        begin: Seconds from the start of the measurement; may be below 0.
-        end: The same.
-        timeout: Seconds that a request may take.
-        leave_at: When its callers all hang up, in seconds from the start.
-        entry: Name of the entry that gets them all; any one if empty.
+        rate: Requests per second.
+        begin: Time of the first possible arrival, in seconds from the start of the
+            measurement; may be negative.
+        end: Time of the last possible arrival, in seconds from the start of the
+            measurement.
+        timeout: Timeout of a request, in seconds.
+        leave_at: Time at which all its callers hang up, in seconds from the start of
+            the measurement.
+        entry: Name of the entry that receives all requests; if empty, each goes to a
+            random entry.
     """
 
     team: TeamId
@@ -59,11 +66,12 @@
 
 @dataclass(frozen=True)
 class JobPlan:
-    """One job.
+    """One job to submit.
 
     Attributes:
-        at: Seconds from the start of the measurement.
-        cancel_at: When its caller cancels it.
+        at: Time of submission, in seconds from the start of the measurement.
+        cancel_at: Time at which the caller cancels the job, in seconds from the start
+            of the measurement.
     """
 
     team: TeamId
@@ -76,14 +84,14 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One single request as it comes."""
+    """The arrival of one single request."""
 
     at: float
     run_seconds: float
 
 
 def arrivals(stream: Stream, seed: str) -> Iterator[Arrival]:
-    """Return a stream's requests, the same for the same seed."""
+    """Yield the arrivals of a stream; the same seed gives the same arrivals."""
     rng = random.Random(seed)
     at = stream.begin + rng.expovariate(stream.rate)
     while at < stream.end:
@@ -92,7 +100,7 @@
 
 
 def task_request(name: str, run_seconds: float) -> TaskRequest:
-    """Return the request of a task that runs so long at a stand-in upstream."""
+    """Return a task request that runs ``run_seconds`` at a stand-in upstream."""
     target = f"/task?run_ms={run_seconds * 1000:.3f}"
     return TaskRequest("POST", target, [("x-task", name)], b"")
 
@@ -105,7 +113,7 @@
     tasks: list[TaskRequest],
     deadline: float,
 ) -> Submission:
-    """Return a submission without a key."""
+    """Return a submission without an idempotency key."""
     return Submission(
         id=SubmissionId(rng.randbytes(16)),
         kind=kind,
@@ -119,10 +127,10 @@
 
 
 def best_makespan(runs: list[float], slots: int) -> float:
-    """Return the makespan of longest first on so many slots, run times known.
+    """Return the makespan of longest-first scheduling with known run times.
 
-    It is over the best possible by at most a third of the longest task, and by far
-    less for many tasks.
+    It exceeds the optimum by at most a third of the longest task, and by far less for
+    many tasks.
     """
     ends = [0.0] * slots
     for run in sorted(runs, reverse=True):
@@ -131,8 +139,8 @@
     return max(ends)
 
 
-def listed_makespan(runs: list[float], slots: int) -> float:
-    """Return the makespan in the order given, as slots get free: run times unknown."""
+def listed_order_makespan(runs: list[float], slots: int) -> float:
+    """Return the makespan if tasks start in list order, with unknown run times."""
     ends = [0.0] * slots
     for run in runs:
         first = min(range(slots), key=ends.__getitem__)
--- a/bergamotcourse/bench/policy_report.py
+++ b/bergamotcourse/bench/policy_report.py
@@ -1,4 +1,4 @@
-"""The page and the plot of the policy benchmark."""
+"""Writes the page and the plot of the policy benchmark."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -6,32 +6,32 @@
 from bergamotcourse.bench.policy_figures import Figures
 from bergamotcourse.bench.policy_scenarios import PRESETS, SCENARIOS
 from bergamotcourse.bench.policy_tables import (
-    FLOW,
-    RESPONSE,
-    TRAFFIC,
+    FLOW_COLUMNS,
+    RESPONSE_COLUMNS,
+    TRAFFIC_COLUMNS,
     Column,
     Results,
     ablation_table,
     extra_table,
     fault_table,
+    format_markdown_table,
+    format_spread,
     kinds_table,
-    spread,
     steady_table,
-    table,
     team_table,
 )
 from bergamotcourse.bench.policy_variants import ABLATIONS, BASELINES, OURS
 
-PAGE = "policy.md"
-PLOT = "policy.png"
-LOADS = SCENARIOS["steady"].loads
-FAULTS = [
+PAGE_NAME = "policy.md"
+PLOT_NAME = "policy.png"
+STEADY_LOADS = SCENARIOS["steady"].loads
+FAULT_SCENARIOS = [
     (one.name, load)
     for one in SCENARIOS.values()
     for load in one.loads
     if one.name not in ("steady", "job alone", "within quota", "over quota", "unfair")
 ]
-EXTRAS = [
+EXTRA_FIGURES = [
     ("black hole", 0.8, "broken after 1 s"),
     ("flapping", 0.8, "broken after 1 s"),
     ("cancel wave", 0.6, "cancels in the wave"),
@@ -40,60 +40,60 @@
     ("job alone", 0.0, "envelopes of the job"),
     ("job beside", 0.2, "makespan / list order"),
 ]
-TEAMS = [("within quota", 0.8), ("over quota", 0.8), ("unfair", 0.8)]
-ABLATED = [
-    ("steady", 0.8, RESPONSE[2]),
-    ("steady", 0.8, TRAFFIC[0]),
-    ("steady", 0.95, RESPONSE[0]),
-    ("steady", 1.5, RESPONSE[0]),
-    ("straggler", 0.8, RESPONSE[2]),
-    ("black hole", 0.8, FLOW[2]),
-    ("job beside", 0.2, RESPONSE[0]),
-    ("job beside", 0.2, TRAFFIC[1]),
-    ("cancel wave", 0.6, TRAFFIC[0]),
-    ("declared long", 1.5, RESPONSE[0]),
+TEAM_SCENARIOS = [("within quota", 0.8), ("over quota", 0.8), ("unfair", 0.8)]
+ABLATION_FIGURES = [
+    ("steady", 0.8, RESPONSE_COLUMNS[2]),
+    ("steady", 0.8, TRAFFIC_COLUMNS[0]),
+    ("steady", 0.95, RESPONSE_COLUMNS[0]),
+    ("steady", 1.5, RESPONSE_COLUMNS[0]),
+    ("straggler", 0.8, RESPONSE_COLUMNS[2]),
+    ("black hole", 0.8, FLOW_COLUMNS[2]),
+    ("job beside", 0.2, RESPONSE_COLUMNS[0]),
+    ("job beside", 0.2, TRAFFIC_COLUMNS[1]),
+    ("cancel wave", 0.6, TRAFFIC_COLUMNS[0]),
+    ("declared long", 1.5, RESPONSE_COLUMNS[0]),
 ]
 
 
 def write_report(
     results: Results, folder: Path, command: str, seeds: int, seconds: float
 ) -> None:
-    """Write the page and the plot into a folder."""
+    """Write the benchmark page and its plot into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / PAGE).write_text(_page(results, command, seeds, seconds))
-    plot(results, folder / PLOT)
+    (folder / PAGE_NAME).write_text(_page(results, command, seeds, seconds))
+    plot(results, folder / PLOT_NAME)
 
 
 def _page(results: Results, command: str, seeds: int, seconds: float) -> str:
     presets = list(PRESETS)
-    ways = [one.name for one in [*BASELINES, OURS]]
+    variants = [one.name for one in [*BASELINES, OURS]]
     switched = [OURS.name, *(one.name for one in ABLATIONS)]
     parts = [
         "# The policy under load and faults",
         _introduction(command, seeds, seconds),
         "## Aims",
         aims_table(results),
-        f"![Mean ratio, p99 and messages by load]({PLOT})",
+        f"![Mean ratio, p99 and messages by load]({PLOT_NAME})",
     ]
     for preset in presets:
         parts += [
             f"## Single requests, {preset}",
-            steady_table(results, preset, ways, LOADS),
+            steady_table(results, preset, variants, STEADY_LOADS),
         ]
-    parts += ["## Messages a task by kind", kinds_table(results, presets, LOADS)]
+    parts += ["## Messages a task by kind", kinds_table(results, presets, STEADY_LOADS)]
     for preset in presets:
         parts += [
             f"## Faults, {preset}",
-            fault_table(results, preset, ["two choices", "ours"], FAULTS),
+            fault_table(results, preset, ["two choices", "ours"], FAULT_SCENARIOS),
         ]
     parts += [
         "## Single figures",
-        extra_table(results, presets, EXTRAS),
+        extra_table(results, presets, EXTRA_FIGURES),
         "## Teams",
-        team_table(results, presets, TEAMS),
+        team_table(results, presets, TEAM_SCENARIOS),
         "## What each decision brings",
         "Each is switched off alone (preset urnalia); the first row has all on.",
-        ablation_table(results, "urnalia", switched, ABLATED),
+        ablation_table(results, "urnalia", switched, ABLATION_FIGURES),
     ]
     return "\n\n".join(parts) + "\n"
 
@@ -125,16 +125,20 @@
 
 
 def aims_table(results: Results) -> str:
-    """Return each aim, what was measured, and whether it is reached."""
+    """Return a table of the aims, the measured values, and whether they are reached."""
     rows = []
     for preset in PRESETS:
-        for title, most, values in _aims(results, preset):
+        for title, limit, values in _aims(results, preset):
             if not values:
                 continue
             worst = max(values)
-            reached = "yes" if worst <= most else "no"
-            rows.append([preset, title, f"≤ {most:g}", spread(values, 3), reached])
-    return table(["preset", "aim", "wanted", "measured", "reached by all seeds"], rows)
+            reached = "yes" if worst <= limit else "no"
+            rows.append(
+                [preset, title, f"≤ {limit:g}", format_spread(values, 3), reached]
+            )
+    return format_markdown_table(
+        ["preset", "aim", "wanted", "measured", "reached by all seeds"], rows
+    )
 
 
 def _aims(results: Results, preset: str) -> Iterable[tuple[str, float, list[float]]]:
@@ -171,42 +175,50 @@
     listed = extra("job alone", 0.0, "makespan / list order")
     yield "makespan over the best in the job's order", 1.05, listed
     pair = pairs(figures("within quota", 0.8), figures("over quota", 0.8))
-    worst = [_others_p99(over) / _others_p99(within) - 1 for within, over in pair]
+    worst = [
+        _other_teams_p99(over) / _other_teams_p99(within) - 1 for within, over in pair
+    ]
     yield "cost to other teams' p99 of one at ten quotas", 0.05, worst
 
 
-def _others_p99(figures: Figures) -> float:
+def _other_teams_p99(figures: Figures) -> float:
     return max(p99 for team, p99 in figures.team_p99.items() if team != "barakaldo")
 
 
 def plot(results: Results, path: Path) -> None:
-    """Plot ratios and messages by load, a row for each preset."""
+    """Plot response ratios and messages by load, with one row per preset."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    columns = [RESPONSE[0], RESPONSE[2], TRAFFIC[0]]
-    ways = [one.name for one in [*BASELINES, OURS]]
+    columns = [RESPONSE_COLUMNS[0], RESPONSE_COLUMNS[2], TRAFFIC_COLUMNS[0]]
+    variants = [one.name for one in [*BASELINES, OURS]]
     grid, rows = pyplot.subplots(2, 3, figsize=(13, 7), constrained_layout=True)
     for preset, row in zip(PRESETS, rows, strict=True):
         for column, axes in zip(columns, row, strict=True):
-            _plot_one(results, preset, ways, column, axes)
+            _plot_column(results, preset, variants, column, axes)
     rows[0][0].legend()
     grid.savefig(path, dpi=110, metadata={"Software": None})
     pyplot.close(grid)
 
 
-def _plot_one(results: Results, preset: str, ways: list[str], column: Column, axes):
-    for way in ways:
+def _plot_column(
+    results: Results, preset: str, variants: list[str], column: Column, axes
+):
+    for variant in variants:
         means, lows, highs = [], [], []
-        for load in LOADS:
-            values = [column.value(f) for f in results.of(preset, way, "steady", load)]
+        for load in STEADY_LOADS:
+            values = [
+                column.value(f) for f in results.of(preset, variant, "steady", load)
+            ]
             means.append(sum(values) / len(values))
             lows.append(means[-1] - min(values))
             highs.append(max(values) - means[-1])
-        axes.errorbar(LOADS, means, [lows, highs], label=way, marker="o", capsize=3)
-    if column in RESPONSE:
+        axes.errorbar(
+            STEADY_LOADS, means, [lows, highs], label=variant, marker="o", capsize=3
+        )
+    if column in RESPONSE_COLUMNS:
         axes.set_yscale("log")
     axes.set_title(f"{preset}: {column.title}")
     axes.set_xlabel("load")
--- a/bergamotcourse/bench/policy_run.py
+++ b/bergamotcourse/bench/policy_run.py
@@ -1,4 +1,4 @@
-"""One run of the policy benchmark: a virtual fleet under a plan of load and faults."""
+"""Runs the policy benchmark once: a virtual fleet under a plan of load and faults."""
 
 import random
 from collections import Counter
@@ -6,19 +6,19 @@
 
 import trio
 
-from bergamotcourse.bench.policy_figures import Figures, Ratios, Usage
+from bergamotcourse.bench.policy_figures import Figures, ResponseRatios, Usage
 from bergamotcourse.bench.policy_load import (
     JobPlan,
     Stream,
     arrivals,
     best_makespan,
     draw_seconds,
-    listed_makespan,
+    listed_order_makespan,
     make_submission,
     task_request,
 )
 from bergamotcourse.bench.policy_scenarios import (
-    FAULT_AT,
+    FAULT_AT_SECONDS,
     PRESETS,
     SCENARIOS,
     Plan,
@@ -34,16 +34,20 @@
 from bergamotcourse.virtual.fleet import VirtualFleet
 
 DRAIN_SECONDS = 15.0
+"""Time after the measured time in which open calls may still be answered."""
+
 LOST = "lost"
-SAME_HOST_SECONDS = 0.0001
+"""Outcome of a call that ended without an answer."""
+
+SAME_HOST_ROUND_TRIP_SECONDS = 0.0001
 
 
 @dataclass(frozen=True)
 class Run:
-    """What is run.
+    """Parameters of one run.
 
     Attributes:
-        seconds: Measured time.
+        seconds: Length of the measured time.
     """
 
     preset: str
@@ -56,12 +60,13 @@
 
 @dataclass
 class Sample:
-    """One single request, after its end.
+    """Result of one single request.
 
     Attributes:
-        at: When it came, in seconds from the start of the measurement.
-        ended: When it was answered.
-        outcome: ``Outcome`` by its value, or ``LOST``.
+        at: Time of arrival, in seconds from the start of the measurement.
+        ended: Time of the answer, in seconds from the start of the measurement.
+        ratio: Response time relative to the ideal response time.
+        outcome: Value of an ``Outcome``, or ``LOST``.
     """
 
     team: TeamId
@@ -74,7 +79,7 @@
 
 @dataclass
 class JobSample:
-    """One job, after its end."""
+    """Result of one job."""
 
     tasks: int
     runs: list[float]
@@ -84,11 +89,14 @@
 
 @dataclass
 class Bench:
-    """One run while it goes on.
+    """State of a run in progress.
 
     Attributes:
-        began: When the measurement starts, on trio's clock.
-        calls: By entry, the calls that are open there.
+        started_at: Start of the measurement, on trio's clock.
+        calls_by_entry: Cancel scopes of the open calls, by entry.
+        calls_by_leave_time: Cancel scopes of the open calls, by the time at which
+            their callers hang up.
+        recorded_usage: Totals recorded by ``record_usage``, by name.
     """
 
     run: Run
@@ -97,23 +105,25 @@
     variant: Variant
     fleet: VirtualFleet
     rng: random.Random
-    began: float = 0.0
+    started_at: float = 0.0
     samples: list[Sample] = field(default_factory=list)
     jobs: list[JobSample] = field(default_factory=list)
-    calls: dict[str, set[trio.CancelScope]] = field(default_factory=dict)
-    leaving: dict[float, set[trio.CancelScope]] = field(default_factory=dict)
-    marks: dict[str, Usage] = field(default_factory=dict)
+    calls_by_entry: dict[str, set[trio.CancelScope]] = field(default_factory=dict)
+    calls_by_leave_time: dict[float, set[trio.CancelScope]] = field(
+        default_factory=dict
+    )
+    recorded_usage: dict[str, Usage] = field(default_factory=dict)
 
     def now(self) -> float:
-        """Return seconds from the start of the measurement."""
-        return trio.current_time() - self.began
+        """Return the time in seconds since the start of the measurement."""
+        return trio.current_time() - self.started_at
 
     async def sleep_until(self, at: float) -> None:
-        """Sleep until a time from the start of the measurement."""
-        await trio.sleep_until(self.began + at)
+        """Sleep until ``at`` seconds after the start of the measurement."""
+        await trio.sleep_until(self.started_at + at)
 
     def usage(self) -> Usage:
-        """Return what all processes have sent until now."""
+        """Return the totals that all processes have sent up to now."""
         fleet = self.fleet
         processes = [*fleet.entries.values(), *fleet.agents.values()]
         counters = [process.mailer.counters for process in processes]
@@ -129,11 +139,14 @@
 
     @property
     def views(self) -> list:
-        """Return the platform as the entries see it."""
+        """Return each entry's view of the platform."""
         return [process.entry.platform for process in self.fleet.entries.values()]
 
     def pick_entry(self, wanted: str) -> str:
-        """Return a living entry, as the platform's balancer does."""
+        """Return the wanted entry if it is alive, else a random live one.
+
+        The platform's balancer picks in the same way.
+        """
         alive = [
             name
             for name, process in self.fleet.entries.items()
@@ -142,28 +155,30 @@
         return wanted if wanted in alive else self.rng.choice(alive)
 
     def ideal(self, run_seconds: float) -> float:
-        """Return the response time of a request that nothing delays."""
+        """Return the response time, in seconds, of a request that is never delayed."""
         return ideal_seconds(self.preset, run_seconds)
 
-    async def feed(self, stream: Stream, nursery: trio.Nursery) -> None:
-        """Let a stream's requests come."""
+    async def send_requests(self, stream: Stream, nursery: trio.Nursery) -> None:
+        """Send the requests of a stream at their arrival times."""
         for arrival in arrivals(stream, stream_seed(self.run, stream, self.plan)):
             await self.sleep_until(arrival.at)
             entry = self.pick_entry(stream.entry)
-            nursery.start_soon(self.call, stream, entry, arrival.run_seconds)
+            nursery.start_soon(self.make_request, stream, entry, arrival.run_seconds)
 
-    async def call(self, stream: Stream, entry: str, run_seconds: float) -> None:
-        """Make one single request."""
+    async def make_request(
+        self, stream: Stream, entry: str, run_seconds: float
+    ) -> None:
+        """Make one single request and record its result."""
         at = self.now()
         answer = None
         with trio.CancelScope() as scope:
-            scopes = self.calls.setdefault(entry, set())
-            hanging_up = self.leaving.setdefault(stream.leave_at, set())
+            scopes = self.calls_by_entry.setdefault(entry, set())
+            leave_scopes = self.calls_by_leave_time.setdefault(stream.leave_at, set())
             scopes.add(scope)
-            hanging_up.add(scope)
+            leave_scopes.add(scope)
             answer = await self.submit(stream, entry, run_seconds)
             scopes.discard(scope)
-            hanging_up.discard(scope)
+            leave_scopes.discard(scope)
         ended = self.now()
         response = ended - at + 2 * self.preset.caller_delay
         ratio = response / self.ideal(run_seconds)
@@ -173,7 +188,7 @@
     async def submit(
         self, stream: Stream, entry: str, run_seconds: float
     ) -> SubmissionAnswer:
-        """Hand a single request to an entry."""
+        """Submit a single request to an entry and return its answer."""
         task = task_request(f"{self.rng.getrandbits(64):x}", run_seconds)
         deadline = trio.current_time() + stream.timeout
         weight = self.weight(stream.team)
@@ -184,7 +199,7 @@
         return await process.entry.submissions.run_unkeyed(submission)
 
     async def run_job(self, plan: JobPlan) -> None:
-        """Submit a job and wait for its whole answer."""
+        """Submit a job, wait for its complete answer, and record its result."""
         await self.sleep_until(plan.at)
         runs = [draw_seconds(self.rng) for _ in range(plan.tasks)]
         tasks = [task_request(f"job-{n}", run) for n, run in enumerate(runs)]
@@ -198,50 +213,50 @@
             trio.current_time() + plan.timeout,
         )
         answer = None
-        with trio.move_on_at(self.began + plan.cancel_at):
+        with trio.move_on_at(self.started_at + plan.cancel_at):
             answer = await entry.submissions.run_unkeyed(submission)
         seconds = self.now() - plan.at + 2 * self.preset.caller_delay
         self.jobs.append(JobSample(plan.tasks, runs, seconds, outcome_of(answer)))
 
     def weight(self, team: TeamId) -> float:
-        """Return a team's weight."""
+        """Return the weight of a team."""
         return next(t.weight for t in self.plan.teams if t.name == team)
 
-    async def disturb(self) -> None:
-        """Let the plan's faults happen."""
+    async def inject_faults(self) -> None:
+        """Inject the plan's faults, and end the open calls of killed entries."""
         for fault in sorted(self.plan.faults, key=lambda fault: fault.at):
             await self.sleep_until(fault.at)
-            fault.act(self.fleet)
+            fault.inject(self.fleet)
             for name, process in self.fleet.entries.items():
                 if process.scope.cancel_called:
-                    self.end_calls(self.calls.pop(name, set()))
+                    self.end_calls(self.calls_by_entry.pop(name, set()))
 
-    async def hang_up(self) -> None:
-        """Let callers hang up, all of one wave at once."""
+    async def hang_up_callers(self) -> None:
+        """Hang up the callers at their leave times, all callers of a wave at once."""
         waves = {stream.leave_at for stream in self.plan.streams}
         for at in sorted(waves):
             if at < self.run.seconds:
                 await self.sleep_until(at)
-                self.mark("before the wave")
-                self.end_calls(self.leaving.pop(at, set()))
+                self.record_usage("before the wave")
+                self.end_calls(self.calls_by_leave_time.pop(at, set()))
                 await trio.sleep(0.1)
-                self.mark("after the wave")
+                self.record_usage("after the wave")
 
     def end_calls(self, scopes: set[trio.CancelScope]) -> None:
-        """End calls without their answers."""
+        """Cancel calls before they are answered."""
         for scope in scopes:
             scope.cancel()
 
-    def mark(self, name: str) -> None:
-        """Keep what was sent until now under a name."""
-        self.marks[name] = self.usage()
+    def record_usage(self, name: str) -> None:
+        """Record the totals sent up to now under a name."""
+        self.recorded_usage[name] = self.usage()
 
-    async def watch(self) -> None:
-        """Take the counts at the start and at the end of the measured time."""
+    async def record_measured_usage(self) -> None:
+        """Record the totals at the start and at the end of the measured time."""
         await self.sleep_until(0.0)
-        self.mark("begin")
+        self.record_usage("begin")
         await self.sleep_until(self.run.seconds)
-        self.mark("end")
+        self.record_usage("end")
 
 
 def stream_seed(run: Run, stream: Stream, plan: Plan) -> str:
@@ -250,7 +265,7 @@
 
 
 def outcome_of(answer: SubmissionAnswer | None) -> str:
-    """Return the outcome of an answer as a whole."""
+    """Return the combined outcome of all tasks of an answer."""
     match answer:
         case Completed(results=results):
             outcomes = {result.outcome for result in results}
@@ -266,7 +281,7 @@
 
 
 async def run_bench(run: Run) -> Bench:
-    """Run a fleet under a plan and return what was seen."""
+    """Run a fleet under a plan and return the recorded results."""
     preset = PRESETS[run.preset]
     plan = SCENARIOS[run.scenario].plan(preset, run.load, run.seconds)
     variant = VARIANTS[run.variant]
@@ -280,16 +295,16 @@
         for process in fleet.agents.values():
             variant.change_agent(process)
         first = min([stream.begin for stream in plan.streams], default=0.0)
-        bench.began = trio.current_time() - first + 0.1
+        bench.started_at = trio.current_time() - first + 0.1
         async with trio.open_nursery() as load:
             for stream in plan.streams:
-                load.start_soon(bench.feed, stream, load)
+                load.start_soon(bench.send_requests, stream, load)
             for job in plan.jobs:
                 load.start_soon(bench.run_job, job)
-            load.start_soon(bench.disturb)
-            load.start_soon(bench.hang_up)
-            load.start_soon(bench.watch)
-            load.cancel_scope.deadline = bench.began + run.seconds + DRAIN_SECONDS
+            load.start_soon(bench.inject_faults)
+            load.start_soon(bench.hang_up_callers)
+            load.start_soon(bench.record_measured_usage)
+            load.cancel_scope.deadline = bench.started_at + run.seconds + DRAIN_SECONDS
             if plan.jobs:
                 load.cancel_scope.deadline += max(job.timeout for job in plan.jobs)
         nursery.cancel_scope.cancel()
@@ -297,9 +312,9 @@
 
 
 def ideal_seconds(preset: Preset, run_seconds: float) -> float:
-    """Return the response time of a request that nothing delays."""
+    """Return the response time, in seconds, of a request that is never delayed."""
     one_way = preset.caller_delay + preset.zone_delay
-    return run_seconds + 2 * one_way + SAME_HOST_SECONDS
+    return run_seconds + 2 * one_way + SAME_HOST_ROUND_TRIP_SECONDS
 
 
 def delay_between(preset: Preset, one: LinkAddress, other: LinkAddress) -> float:
@@ -309,12 +324,12 @@
 
 
 def measure(run: Run) -> Figures:
-    """Run and return the figures."""
+    """Perform a run on a virtual clock and return its figures."""
     return figures_of(run_virtual(lambda: run_bench(run), run.seed))
 
 
 def figures_of(bench: Bench) -> Figures:
-    """Return the figures of a run that ended."""
+    """Return the figures of a completed run."""
     seconds = bench.run.seconds
     measured = [s for s in bench.samples if 0 <= s.at < seconds]
     in_jobs = sum(job.tasks for job in bench.jobs)
@@ -334,12 +349,12 @@
     return figures
 
 
-def _ratios(measured: list[Sample]) -> tuple[Ratios, dict[str, Ratios]]:
-    ratios, by_team = Ratios(), {}
+def _ratios(measured: list[Sample]) -> tuple[ResponseRatios, dict[str, ResponseRatios]]:
+    ratios, by_team = ResponseRatios(), {}
     for sample in measured:
         if sample.outcome == Outcome.DONE.value:
             ratios.add(sample.ratio)
-            by_team.setdefault(sample.team, Ratios()).add(sample.ratio)
+            by_team.setdefault(sample.team, ResponseRatios()).add(sample.ratio)
     return ratios, by_team
 
 
@@ -349,7 +364,7 @@
 
 
 def _add_usage(figures: Figures, bench: Bench, tasks: int) -> None:
-    used = bench.marks["end"].since(bench.marks["begin"])
+    used = bench.recorded_usage["end"].since(bench.recorded_usage["begin"])
     tasks = max(1, tasks)
     figures.messages = {kind: n / tasks for kind, n in sorted(used.messages.items())}
     figures.envelopes = used.envelopes / tasks
@@ -358,7 +373,7 @@
 
 
 def _add_extra(figures: Figures, bench: Bench, measured: list[Sample]) -> None:
-    settled = [s for s in measured if s.at >= FAULT_AT + 1]
+    settled = [s for s in measured if s.at >= FAULT_AT_SECONDS + 1]
     figures.extra["broken after 1 s"] = _share(settled, {Outcome.FAILED.value})
     if bench.jobs:
         figures.extra["envelopes of the job"] = _job_envelopes(figures)
@@ -366,18 +381,20 @@
         slots = bench.preset.agents * bench.preset.slots
         trip = bench.ideal(0.0)
         best = best_makespan(job.runs, slots) + trip
-        listed = listed_makespan(job.runs, slots) + trip
+        listed = listed_order_makespan(job.runs, slots) + trip
         figures.extra["makespan / best"] = job.seconds / best
         figures.extra["makespan / list order"] = job.seconds / listed
         figures.extra["job done"] = float(job.outcome == Outcome.DONE.value)
-    if "before the wave" in bench.marks:
-        used = bench.marks["after the wave"].since(bench.marks["before the wave"])
+    if "before the wave" in bench.recorded_usage:
+        used = bench.recorded_usage["after the wave"].since(
+            bench.recorded_usage["before the wave"]
+        )
         figures.extra["cancels in the wave"] = float(used.messages["Cancel"])
         figures.extra["envelopes in the wave"] = float(used.envelopes)
 
 
 def _job_envelopes(figures: Figures) -> float:
-    """Return the envelopes a task but for those of heartbeats and attachments."""
+    """Return the envelopes per task, without those of heartbeats and attachments."""
     work = ("Start", "TaskResult")
     alone = [n for kind, n in figures.messages.items() if kind not in work]
     return figures.envelopes - sum(alone)
--- a/bergamotcourse/bench/policy_scenarios.py
+++ b/bergamotcourse/bench/policy_scenarios.py
@@ -1,4 +1,4 @@
-"""The presets and scenarios of the policy benchmark."""
+"""Presets and scenarios of the policy benchmark."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -15,18 +15,18 @@
 from bergamotcourse.virtual.fleet import FleetShape, VirtualFleet
 
 WARM_UP_SECONDS = 4.0
-FAULT_AT = 5.0
+FAULT_AT_SECONDS = 5.0
 TEAM = TeamId("barakaldo")
 OTHER_TEAMS = [TeamId("getxo"), TeamId("gijon"), TeamId("basauri")]
 
 
 @dataclass(frozen=True)
 class Preset:
-    """A deployment; delays are one way, in seconds.
+    """A deployment; all delays are one-way and in seconds.
 
     Attributes:
-        zone_delay: Between processes of one availability zone.
-        link_delay: Between availability zones.
+        zone_delay: Delay between processes of one availability zone.
+        link_delay: Delay between availability zones.
     """
 
     name: str
@@ -40,11 +40,11 @@
 
     @property
     def capacity(self) -> float:
-        """Return the tasks a second that the slots can run."""
+        """Return the number of tasks per second that the slots can run."""
         return self.agents * self.slots / MEAN_SECONDS
 
     def shape(self) -> FleetShape:
-        """Return the fleet's shape."""
+        """Return the shape of the virtual fleet."""
         return FleetShape(
             entries=self.entries,
             agents=self.agents,
@@ -62,15 +62,15 @@
 
 @dataclass
 class Fault:
-    """Something that happens at a time, in seconds from the start of measurement."""
+    """A fault injected ``at`` seconds after the start of the measurement."""
 
     at: float
-    act: Callable[[VirtualFleet], None]
+    inject: Callable[[VirtualFleet], None]
 
 
 @dataclass
 class Plan:
-    """What comes in one run, and what goes wrong."""
+    """The load, faults and configuration of one run."""
 
     streams: list[Stream]
     jobs: list[JobPlan] = field(default_factory=list)
@@ -80,7 +80,7 @@
 
 
 def make_team(name: TeamId, **limits) -> Team:
-    """Return a team that may use the service."""
+    """Return a team that may use the service, by default practically without limits."""
     limits.setdefault("quota_starts_per_second", 100_000.0)
     limits.setdefault("max_in_flight", 100_000)
     return Team(name=name, services=[SERVICE], **limits)
@@ -101,21 +101,21 @@
 
 
 def steady(preset: Preset, load: float, seconds: float) -> Plan:
-    """Return single requests at one load."""
+    """Return single requests at a constant load."""
     rate = load * preset.capacity
     return Plan([Stream(TEAM, rate, -WARM_UP_SECONDS, seconds)])
 
 
 def burst(preset: Preset, load: float, seconds: float) -> Plan:
-    """Return three times the capacity for one second on top of a load."""
+    """Return a load plus three times the capacity for one second."""
     plan = steady(preset, load, seconds)
-    extra = Stream(TEAM, 3 * preset.capacity, FAULT_AT, FAULT_AT + 1.0)
+    extra = Stream(TEAM, 3 * preset.capacity, FAULT_AT_SECONDS, FAULT_AT_SECONDS + 1.0)
     plan.streams.append(extra)
     return plan
 
 
 def straggler(preset: Preset, load: float, seconds: float) -> Plan:
-    """Return a load with one worker ten times as slow."""
+    """Return a load with one worker that is ten times as slow."""
 
     def slow(fleet: VirtualFleet) -> None:
         fleet.upstreams["agent-1"].faults.slow_factor = 10.0
@@ -124,7 +124,7 @@
 
 
 def black_hole(preset: Preset, load: float, seconds: float) -> Plan:
-    """Return a load with one worker that fails each task at once."""
+    """Return a load with one worker that fails every task immediately."""
 
     def fail(fleet: VirtualFleet) -> None:
         fleet.upstreams["agent-1"].faults.fail = True
@@ -147,7 +147,7 @@
 def common_cause(preset: Preset, load: float, seconds: float) -> Plan:
     """Return a load with all workers failing for two seconds."""
     plan = steady(preset, load, seconds)
-    for at, fail in ((FAULT_AT, True), (FAULT_AT + 2, False)):
+    for at, fail in ((FAULT_AT_SECONDS, True), (FAULT_AT_SECONDS + 2, False)):
 
         def turn(fleet: VirtualFleet, fail: bool = fail) -> None:
             for upstream in fleet.upstreams.values():
@@ -172,14 +172,18 @@
 
 
 def cancel_wave(preset: Preset, load: float, seconds: float) -> Plan:
-    """Return a second of twice the capacity whose callers all hang up."""
+    """Return a load plus a second of twice the capacity whose callers all hang up."""
     plan = steady(preset, load, seconds)
     plan.streams.append(
         Stream(
-            TEAM, 2 * preset.capacity, FAULT_AT, FAULT_AT + 1, leave_at=FAULT_AT + 1.2
+            TEAM,
+            2 * preset.capacity,
+            FAULT_AT_SECONDS,
+            FAULT_AT_SECONDS + 1,
+            leave_at=FAULT_AT_SECONDS + 1.2,
         )
     )
-    job = JobPlan(TEAM, FAULT_AT, tasks=400, cancel_at=FAULT_AT + 1.2)
+    job = JobPlan(TEAM, FAULT_AT_SECONDS, tasks=400, cancel_at=FAULT_AT_SECONDS + 1.2)
     plan.jobs.append(job)
     return plan
 
@@ -197,7 +201,7 @@
 
 
 def zone_goes(preset: Preset, load: float, seconds: float) -> Plan:
-    """Return a load with an availability zone whose processes all die."""
+    """Return a load with an availability zone whose processes are all killed."""
 
     def die(fleet: VirtualFleet) -> None:
         for agent in fleet.agents.values():
@@ -210,7 +214,7 @@
 
 
 def job_beside(preset: Preset, load: float, seconds: float) -> Plan:
-    """Return a job of 1,600 tasks on an otherwise idle fleet and few requests."""
+    """Return a job of 1,600 tasks of another team beside a load of single requests."""
     plan = steady(preset, load, seconds)
     other = OTHER_TEAMS[0]
     plan.teams.append(make_team(other))
@@ -235,7 +239,7 @@
 
 
 def within_quota(preset: Preset, load: float, seconds: float) -> Plan:
-    """Return the same four teams, the first at its quota, and none limited."""
+    """Return four teams without quotas, each at its share of the load."""
     plan = unfair(preset, load, seconds)
     first = plan.streams[0]
     plan.streams[0] = Stream(TEAM, first.rate / 10, first.begin, first.end)
@@ -243,7 +247,7 @@
 
 
 def unfair(preset: Preset, load: float, seconds: float) -> Plan:
-    """Return four teams without quotas of which one asks ten times its share."""
+    """Return four teams without quotas, the first at ten times its share."""
     plan = over_quota(preset, load, seconds)
     plan.teams = [make_team(name) for name in [TEAM, *OTHER_TEAMS]]
     return plan
@@ -254,14 +258,14 @@
     """One scenario and the loads at which it runs.
 
     Attributes:
-        lost_agents: Agents that are of no use from ``lost_at`` on.
+        lost_agents: Number of agents without useful capacity from ``lost_at`` on.
     """
 
     name: str
     plan: Callable[[Preset, float, float], Plan]
     loads: tuple[float, ...] = (0.8,)
     lost_agents: int = 0
-    lost_at: float = FAULT_AT
+    lost_at: float = FAULT_AT_SECONDS
 
 
 SCENARIOS = {
@@ -288,7 +292,7 @@
 
 
 def _with_fault(
-    plan: Plan, act: Callable[[VirtualFleet], None], at: float = FAULT_AT
+    plan: Plan, inject: Callable[[VirtualFleet], None], at: float = FAULT_AT_SECONDS
 ) -> Plan:
-    plan.faults.append(Fault(at, act))
+    plan.faults.append(Fault(at, inject))
     return plan
--- a/bergamotcourse/bench/policy_variants.py
+++ b/bergamotcourse/bench/policy_variants.py
@@ -1,4 +1,4 @@
-"""The ways to route that are measured side by side."""
+"""Routing variants that the policy benchmark compares."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, fields, replace
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """One way to route.
+    """One routing variant.
 
     Attributes:
-        change_entry: Changes an entry before it serves.
-        change_agent: Changes an agent before it serves.
+        change_entry: Modifies an entry before it serves requests.
+        change_agent: Modifies an agent before it serves requests.
     """
 
     name: str
@@ -25,7 +25,7 @@
     change_agent: Callable[[VirtualAgent], None]
 
 
-def _routing(policy) -> Callable[[VirtualEntry], None]:
+def _use_routing_policy(policy) -> Callable[[VirtualEntry], None]:
     def change(process: VirtualEntry) -> None:
         router = process.entry.router
         router.policy = policy
@@ -35,27 +35,29 @@
     return change
 
 
-def _queue_at_agent(process: VirtualAgent) -> None:
+def _allow_long_queue(process: VirtualAgent) -> None:
     agent = process.agent
     agent.limits = replace(agent.limits, queue_tasks=LONG_QUEUE_TASKS)
 
 
-def _without(name: str) -> Callable[[VirtualEntry], None]:
+def _without_decision(name: str) -> Callable[[VirtualEntry], None]:
     def change(process: VirtualEntry) -> None:
         setattr(process.entry.router.decisions, name, False)
 
     return change
 
 
-def _nothing(_process) -> None:
+def _change_nothing(_process) -> None:
     pass
 
 
-OURS = Variant("ours", _nothing, _nothing)
+OURS = Variant("ours", _change_nothing, _change_nothing)
 BASELINES = [
-    Variant("naive", _routing(RandomAgent()), _queue_at_agent),
-    Variant("round robin", _routing(RoundRobin()), _queue_at_agent),
-    Variant("two choices", _routing(TwoChoices()), _queue_at_agent),
+    Variant("naive", _use_routing_policy(RandomAgent()), _allow_long_queue),
+    Variant("round robin", _use_routing_policy(RoundRobin()), _allow_long_queue),
+    Variant("two choices", _use_routing_policy(TwoChoices()), _allow_long_queue),
+]
+ABLATIONS = [
+    Variant(f"no {name}", _without_decision(name), _change_nothing) for name in SWITCHES
 ]
-ABLATIONS = [Variant(f"no {name}", _without(name), _nothing) for name in SWITCHES]
 VARIANTS = {variant.name: variant for variant in [*BASELINES, OURS, *ABLATIONS]}
--- a/bergamotcourse/bench/replay/__init__.py
+++ b/bergamotcourse/bench/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replays of loads and faults on a virtual clock, to compare ways to decide."""
+"""Replays of loads and faults on a virtual clock, to compare scheduling policies."""
--- a/bergamotcourse/bench/replay/compare.py
+++ b/bergamotcourse/bench/replay/compare.py
@@ -1,4 +1,4 @@
-"""Policies side by side on one load: the same seeds for each, so differences pair."""
+"""Compares policies on one load, with the same seeds, so that results are paired."""
 
 import random
 import statistics
@@ -7,7 +7,7 @@
 
 from bergamotcourse.bench.replay.load_file import Load
 from bergamotcourse.bench.replay.run import replay
-from bergamotcourse.bench.replay.tally import Outcome
+from bergamotcourse.bench.replay.tally import ReplayOutcome
 from bergamotcourse.coordination.jobs.policy import JobPolicy
 
 RESAMPLES = 2000
@@ -24,49 +24,55 @@
 
 
 @dataclass(frozen=True)
-class Row:
-    """One policy's replays.
+class PolicyResult:
+    """The results of the replays under one policy.
 
     Attributes:
         worth: Share of the worth that was earned.
-        gain: That share less the first policy's, pair by pair.
+        gain: Paired difference between this share and that of the first policy.
     """
 
     policy: str
-    outcomes: list[Outcome]
+    outcomes: list[ReplayOutcome]
     worth: Interval
     gain: Interval
 
     def mean(self, figure) -> float:
-        """Return the mean of a figure of the replays."""
+        """Return the mean of a figure over the replays."""
         return statistics.mean(figure(outcome) for outcome in self.outcomes)
 
 
 def compare(
     load: Load, policies: dict[str, JobPolicy], seeds: range, pool: Executor
-) -> list[Row]:
-    """Replay a load under each policy, with each seed."""
+) -> list[PolicyResult]:
+    """Replay a load under each policy with each seed and return a result per policy."""
     jobs = {
         name: [pool.submit(replay, load, policy, seed) for seed in seeds]
         for name, policy in policies.items()
     }
-    outcomes = {name: [job.result() for job in mine] for name, mine in jobs.items()}
-    shares = {name: list(map(share_earned, mine)) for name, mine in outcomes.items()}
+    outcomes = {
+        name: [job.result() for job in per_seed] for name, per_seed in jobs.items()
+    }
+    shares = {
+        name: list(map(share_earned, per_seed)) for name, per_seed in outcomes.items()
+    }
     first = shares[next(iter(policies))]
     rows = []
-    for name, mine in shares.items():
-        gains = [one - other for one, other in zip(mine, first, strict=True)]
-        rows.append(Row(name, outcomes[name], interval(mine), interval(gains)))
+    for name, per_seed in shares.items():
+        gains = [one - other for one, other in zip(per_seed, first, strict=True)]
+        rows.append(
+            PolicyResult(name, outcomes[name], interval(per_seed), interval(gains))
+        )
     return rows
 
 
-def share_earned(outcome: Outcome) -> float:
+def share_earned(outcome: ReplayOutcome) -> float:
     """Return the share of a replay's worth that was earned."""
     return outcome.total.share_earned()
 
 
 def interval(values: list[float]) -> Interval:
-    """Return the mean and its bootstrap interval, the same for the same values."""
+    """Return the mean and its bootstrap interval; the same values give the same one."""
     rng = random.Random(0)
     means = sorted(
         statistics.mean(rng.choices(values, k=len(values))) for _ in range(RESAMPLES)
--- a/bergamotcourse/bench/replay/faults.py
+++ b/bergamotcourse/bench/replay/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a replay, at its times."""
+"""Injects the events of a load into the fleet of a replay."""
 
 from collections.abc import Callable
 
@@ -20,11 +20,11 @@
 from bergamotcourse.virtual.job_fleet import JobFleet
 
 DRAIN_SECONDS = 2.0
-"""An upstream that leaves serves on for so long after it has said so."""
+"""Time that a leaving upstream continues to serve after it reports draining."""
 
 
-class Faults:
-    """Lets the events of a load happen to a fleet."""
+class FaultInjector:
+    """Injects the events of a load into a fleet."""
 
     def __init__(self, fleet: JobFleet):
         self.fleet = fleet
@@ -32,17 +32,17 @@
         self.entries = list(fleet.entries)
 
     async def run(self, event: AnyEvent) -> None:
-        """Wait for an event's time, and let it happen."""
+        """Wait until an event begins, and run it to its end."""
         await trio.sleep(event.at)
         match event:
             case Slow(factor=factor):
-                await self._misbehave(event, lambda: Behaviour(slowness=factor))
+                await self._change_behaviour(event, lambda: Behaviour(slowness=factor))
             case Stalled():
-                await self._misbehave(event, lambda: Behaviour(hangs=True))
+                await self._change_behaviour(event, lambda: Behaviour(hangs=True))
             case Failing():
-                await self._misbehave(event, lambda: Behaviour(fails=True))
+                await self._change_behaviour(event, lambda: Behaviour(fails=True))
             case Unanswered(share=share):
-                await self._misbehave(event, lambda: Behaviour(unanswered=share))
+                await self._change_behaviour(event, lambda: Behaviour(unanswered=share))
             case UpstreamLost():
                 await self._replace_upstreams(event)
             case Leaving():
@@ -57,13 +57,15 @@
             case AllLost(seconds=seconds):
                 await self._restart(self.entries, self.agents, seconds)
 
-    async def _misbehave(self, event, behaviour: Callable[[], Behaviour]) -> None:
+    async def _change_behaviour(
+        self, event, behaviour: Callable[[], Behaviour]
+    ) -> None:
         upstreams = [self.fleet.upstreams[n] for n in self.agents[: event.upstreams]]
-        usual = [upstream.behaviour for upstream in upstreams]
+        previous = [upstream.behaviour for upstream in upstreams]
         for upstream in upstreams:
             upstream.behaviour = behaviour()
         await trio.sleep(event.seconds)
-        for upstream, behaviour_before in zip(upstreams, usual, strict=True):
+        for upstream, behaviour_before in zip(upstreams, previous, strict=True):
             upstream.behaviour = behaviour_before
 
     async def _replace_upstreams(self, event) -> None:
--- a/bergamotcourse/bench/replay/load_file.py
+++ b/bergamotcourse/bench/replay/load_file.py
@@ -1,4 +1,4 @@
-"""A load to replay: what callers hand in, and what goes wrong meanwhile."""
+"""The load file of a replay: the jobs that callers submit, and the injected faults."""
 
 from typing import Annotated
 
@@ -16,22 +16,23 @@
 
 
 class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A part of a load file; a key that it does not have is an error."""
+    """A section of a load file; unknown keys are validation errors."""
 
 
 class Kind(Record, frozen=True):
     """A kind of job.
 
     Attributes:
-        share: Of all jobs, in parts of the sum over the kinds.
-        tasks: Mean number of tasks.
-        work: Declared seconds of a task.
-        worth: Of a job in time; in any unit.
-        slack_factor: Of the objective, with ``target``.
-        target: Seconds of the objective beside its part for the work.
-        payload_bytes: Of the payload that each of its tasks is told.
-        crashing: Share of its jobs of which a task crashes the upstreams that run it;
-            these are not counted.
+        share: Relative weight of this kind among all jobs; the weights of all kinds
+            need not sum to 1.
+        tasks: Mean number of tasks of a job.
+        work: Declared run time of a task, in seconds.
+        worth: Value of a job that meets its latency objective, in any unit.
+        slack_factor: Factor of the latency objective that applies to the work.
+        target: Constant part of the latency objective, in seconds.
+        payload_bytes: Size of the payload that each task receives, in bytes.
+        crashing: Share of the jobs that have a task which crashes every upstream
+            that runs it; these jobs are not counted.
     """
 
     name: str
@@ -46,13 +47,13 @@
 
 
 class Event(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind"):
-    """Something that happens ``at`` seconds after the first counted job."""
+    """An event that begins ``at`` seconds after the counted time begins."""
 
     at: Seconds
 
 
 class Burst(Event, frozen=True, tag="burst"):
-    """``factor`` times the jobs, all or those of one kind."""
+    """Multiplies the arrival rate by ``factor``, for the kind ``job`` or for all."""
 
     seconds: Positive
     factor: Positive
@@ -60,20 +61,20 @@
 
 
 class UpstreamEvent(Event, frozen=True):
-    """Something that happens to the first so many upstreams."""
+    """An event that affects the first ``upstreams`` upstreams."""
 
     upstreams: Count = 1
     seconds: Positive = 5.0
 
 
 class Slow(UpstreamEvent, frozen=True, tag="slow"):
-    """Tasks take ``factor`` times as long."""
+    """Tasks run ``factor`` times as long."""
 
     factor: Positive = 6.0
 
 
 class Stalled(UpstreamEvent, frozen=True, tag="stalled"):
-    """Tasks stand still."""
+    """Tasks make no progress."""
 
 
 class Failing(UpstreamEvent, frozen=True, tag="failing"):
@@ -81,35 +82,35 @@
 
 
 class Unanswered(UpstreamEvent, frozen=True, tag="unanswered"):
-    """A share of the orders gets no answer and is carried out seconds later."""
+    """A share of the orders is not answered and is executed seconds later."""
 
     share: Share = 0.05
 
 
 class UpstreamLost(UpstreamEvent, frozen=True, tag="upstream-lost"):
-    """Upstreams crash, and others come in their place."""
+    """Upstreams crash and are replaced after ``seconds``."""
 
 
 class Leaving(UpstreamEvent, frozen=True, tag="leaving"):
-    """Upstreams drain, are gone, and others come in their place."""
+    """Upstreams drain, stop, and are replaced after ``seconds``."""
 
 
 class EntryLost(Event, frozen=True, tag="entry-lost"):
-    """Entries are killed, and come back."""
+    """Entries are killed and restart after ``seconds``."""
 
     entries: Count = 1
     seconds: Positive = 1.0
 
 
 class EntryPaused(Event, frozen=True, tag="entry-paused"):
-    """Entries stand still, and go on with all that has come meanwhile."""
+    """Entries are paused, and then process all messages received meanwhile."""
 
     entries: Count = 1
     seconds: Positive = 0.5
 
 
 class AllLost(Event, frozen=True, tag="all-lost"):
-    """All entries and agents are killed, and come back."""
+    """All entries and agents are killed and restart after ``seconds``."""
 
     seconds: Positive = 1.0
 
@@ -129,17 +130,20 @@
 
 
 class Load(Record, frozen=True):
-    """What is replayed.
+    """A load to replay.
 
     Attributes:
-        load: Work that comes, in parts of what all upstreams can do.
-        seconds: For how long jobs arrive and are counted.
-        spread: Deviation of the logarithm of a task's time over the declared.
-        error: By how much the declared times of a kind are off, up or down.
-        slots: Tasks that an upstream runs at a time.
-        slowest: Times as long as at the fastest that tasks take at the slowest
-            upstream; the others lie between.
-        link_mbps: Of each entry's link, in each direction; 0 for no limit.
+        load: Submitted work as a fraction of the capacity of all upstreams.
+        seconds: Length of the time in which arriving jobs are counted, in seconds.
+        spread: Standard deviation of the logarithm of the ratio of a task's actual
+            run time to the declared one.
+        error: Largest relative error of the declared run time of a kind, in either
+            direction.
+        slots: Number of tasks that an upstream runs concurrently.
+        slowest: Run time at the slowest upstream relative to the fastest; the other
+            upstreams are spaced evenly between the two.
+        link_mbps: Bandwidth of each entry's link in each direction, in Mbit/s;
+            0 means no limit.
     """
 
     kinds: list[Kind]
@@ -156,7 +160,7 @@
 
 
 def read_load(path: str) -> Result[Load, list[Issue]]:
-    """Return the load in a file, or what is wrong with it."""
+    """Return the load read from a YAML file, or the issues found in it."""
     return (
         read_text(path)
         .bind(lambda text: parse_yaml(text, path))
@@ -165,7 +169,7 @@
 
 
 def convert_load(document, file: str) -> Result[Load, list[Issue]]:
-    """Return the load in plain data, or what is wrong with it."""
+    """Return the load decoded from a YAML document, or the issues found in it."""
     try:
         load = msgspec.convert(document, Load)
     except msgspec.ValidationError as error:
@@ -176,8 +180,8 @@
         for name in sorted({name for name in names if names.count(name) > 1})
     ]
     issues += [
-        Issue(file, f"events[{place}]", f"there is no kind of job {event.job!r}")
-        for place, event in enumerate(load.events)
+        Issue(file, f"events[{index}]", f"there is no kind of job {event.job!r}")
+        for index, event in enumerate(load.events)
         if isinstance(event, Burst) and event.job and event.job not in names
     ]
     if not names:
--- a/bergamotcourse/bench/replay/run.py
+++ b/bergamotcourse/bench/replay/run.py
@@ -1,4 +1,4 @@
-"""One replay: callers, faults, and what became of the jobs; by a seed, repeatable."""
+"""Replays one load with its callers and faults, repeatable by its seed."""
 
 import itertools
 import math
@@ -7,9 +7,9 @@
 import trio
 from msgspec import structs
 
-from bergamotcourse.bench.replay.faults import Faults
+from bergamotcourse.bench.replay.faults import FaultInjector
 from bergamotcourse.bench.replay.load_file import Burst, Kind, Load
-from bergamotcourse.bench.replay.tally import Outcome
+from bergamotcourse.bench.replay.tally import ReplayOutcome
 from bergamotcourse.coordination.jobs.policy import JobPolicy
 from bergamotcourse.standins.order_upstream import Behaviour
 from bergamotcourse.state.job_spec import (
@@ -24,31 +24,33 @@
 from bergamotcourse.virtual.clock import run_virtual
 from bergamotcourse.virtual.job_fleet import CAPACITY, QUEUE, JobFleet
 
-CALLER_SECONDS = 6.0
-"""For how long a caller waits."""
+CALLER_TIMEOUT_SECONDS = 6.0
+"""Total time that a caller waits for a job, resubmissions included."""
 
-RESEND_SECONDS = 1.3
-"""After which callers send again what was cut, to any entry."""
+RESUBMIT_DELAY_SECONDS = 1.3
+"""Delay before a caller resubmits a job whose call was cut, to a random entry."""
 
 WARM_UP_SECONDS = 2.0
-"""Of the load before jobs are counted and events begin."""
+"""Time under load before jobs are counted and events begin."""
 
 TASK_MEM_MB = 64
 
 PADDING = "."
-"""Fills payloads up; the name of the kind stands before it."""
+"""Pads payloads to their size, after the name of the kind."""
 
 BYTES_PER_MBIT = 125_000
 
 
 class Callers:
-    """Hands in the jobs of a load.
+    """Submits the jobs of a load.
 
     Attributes:
-        longest: By job, the seconds of its longest task: what its objective is by.
+        longest_task_seconds: By job, the run time of its longest task, from which its
+            latency objective is computed.
+        runs_read: Number of runs of the fleet's history that were already processed.
     """
 
-    def __init__(self, fleet: JobFleet, load: Load, outcome: Outcome):
+    def __init__(self, fleet: JobFleet, load: Load, outcome: ReplayOutcome):
         self.fleet = fleet
         self.load = load
         self.outcome = outcome
@@ -56,11 +58,11 @@
         self.queues = {kind.name: make_queue(kind) for kind in load.kinds}
         self.needs = task_needs(load)
         self.numbers = itertools.count(1)
-        self.noted = 0
-        self.longest: dict[JobId, float] = {}
+        self.runs_read = 0
+        self.longest_task_seconds: dict[JobId, float] = {}
 
     async def run(self, counted_from: float) -> None:
-        """Let jobs arrive, and wait for the last."""
+        """Submit jobs until the counted time ends, and wait for the last one."""
         ends_at = counted_from + self.load.seconds
         async with trio.open_nursery() as nursery:
             while (now := trio.current_time()) < ends_at:
@@ -69,10 +71,10 @@
                 ]
                 await trio.sleep(self.rng.expovariate(sum(rates)))
                 [kind] = self.rng.choices(self.load.kinds, rates)
-                nursery.start_soon(self._hand_in, kind, now - counted_from)
+                nursery.start_soon(self._submit_job, kind, now - counted_from)
 
     def _rate(self, kind: Kind, at: float) -> float:
-        """Return the jobs of a kind in a second, at a time."""
+        """Return the arrival rate of a kind, in jobs per second, at a given time."""
         rate = jobs_per_second(self.load) * kind.share / total_share(self.load)
         for event in self.load.events:
             match event:
@@ -81,23 +83,28 @@
                         rate *= factor
         return rate
 
-    async def _hand_in(self, kind: Kind, at: float) -> None:
+    async def _submit_job(self, kind: Kind, at: float) -> None:
         spec = self._make_job(kind)
         crashes = self.rng.random() < kind.crashing
         if crashes:
             self.fleet.crashing.add(TaskName(f"{spec.id}.0.0.0"))
-        begun = trio.current_time()
+        started_at = trio.current_time()
         outcome = None
-        while outcome is None and trio.current_time() < begun + CALLER_SECONDS:
+        while (
+            outcome is None
+            and trio.current_time() < started_at + CALLER_TIMEOUT_SECONDS
+        ):
             entry = self.rng.choice(list(self.fleet.entries))
-            left = begun + CALLER_SECONDS - trio.current_time()
+            left = started_at + CALLER_TIMEOUT_SECONDS - trio.current_time()
             queue = self.queues[kind.name]
             outcome = (await self.fleet.submit(entry, spec, queue, left)).outcome
             if outcome is None:
-                await trio.sleep(RESEND_SECONDS)
+                await trio.sleep(RESUBMIT_DELAY_SECONDS)
         if at >= 0 and not crashes:
-            took = trio.current_time() - begun
-            objective = self.queues[kind.name].objective(self._longest_task(spec))
+            took = trio.current_time() - started_at
+            objective = self.queues[kind.name].objective(
+                self._longest_task_seconds(spec)
+            )
             self.outcome.add(kind.name, at, outcome, took, objective, kind.worth)
 
     def _make_job(self, kind: Kind) -> JobSpec:
@@ -106,17 +113,19 @@
         payload = kind.name.ljust(kind.payload_bytes, PADDING)
         return JobSpec(JobId(f"j{next(self.numbers)}"), payload, (step,))
 
-    def _longest_task(self, spec: JobSpec) -> float:
-        runs = self.fleet.history[self.noted :]
-        self.noted += len(runs)
+    def _longest_task_seconds(self, spec: JobSpec) -> float:
+        runs = self.fleet.history[self.runs_read :]
+        self.runs_read += len(runs)
         for run in runs:
             job = job_id_of_task(run.key.task)
-            self.longest[job] = max(self.longest.get(job, 0.0), run.total)
-        return self.longest.get(spec.id, spec.steps[0].estimate)
+            self.longest_task_seconds[job] = max(
+                self.longest_task_seconds.get(job, 0.0), run.total
+            )
+        return self.longest_task_seconds.get(spec.id, spec.steps[0].estimate)
 
 
 def make_queue(kind: Kind) -> JobQueue:
-    """Return the queue of a kind of job."""
+    """Return the job queue for a kind of job."""
     return structs.replace(
         QUEUE,
         name=kind.name,
@@ -127,25 +136,25 @@
 
 
 def task_needs(load: Load) -> Resources:
-    """Return the needs of a task: an upstream has room for ``slots`` of them."""
+    """Return the resources of a task, such that an upstream fits ``slots`` tasks."""
     return Resources(CAPACITY.cpu // load.slots, TASK_MEM_MB, 0)
 
 
 def total_share(load: Load) -> float:
-    """Return the sum of the kinds' shares."""
+    """Return the sum of the shares of all kinds."""
     return sum(kind.share for kind in load.kinds)
 
 
 def jobs_per_second(load: Load) -> float:
-    """Return the jobs that come in a second, by the work that they bring."""
-    longer = math.exp(load.spread**2 / 2)
+    """Return the arrival rate, in jobs per second, that produces the load's work."""
+    mean_factor = math.exp(load.spread**2 / 2)
     work = sum(kind.share * kind.tasks * kind.work for kind in load.kinds)
-    mean = longer * work / total_share(load)
+    mean = mean_factor * work / total_share(load)
     return load.load * load.agents * load.slots / mean
 
 
-def make_work(load: Load, rng: random.Random):
-    """Return what tells the stand-ins the work of a task."""
+def make_work_sampler(load: Load, rng: random.Random):
+    """Return a function that draws a task's resources and run time from its payload."""
     needs = task_needs(load)
     errors = {k.name: 1 + rng.uniform(-load.error, load.error) for k in load.kinds}
     works = {kind.name: kind.work for kind in load.kinds}
@@ -158,44 +167,46 @@
     return work_of
 
 
-def replay(load: Load, policy: JobPolicy, seed: int) -> Outcome:
-    """Replay a load, and return what became of its jobs."""
+def replay(load: Load, policy: JobPolicy, seed: int) -> ReplayOutcome:
+    """Replay a load under a policy and return the outcome of its jobs."""
 
-    async def main() -> Outcome:
+    async def main() -> ReplayOutcome:
         async with trio.open_nursery() as nursery:
             fleet = JobFleet(nursery, load.entries, load.agents, seed, policy)
-            fleet.work_of = make_work(load, random.Random(seed))
+            fleet.work_of = make_work_sampler(load, random.Random(seed))
             if load.link_mbps:
                 fleet.limit_links(load.link_mbps * BYTES_PER_MBIT)
             await fleet.start()
-            set_speeds(fleet, load)
-            outcome = Outcome()
-            await play(fleet, load, outcome)
+            set_upstream_speeds(fleet, load)
+            outcome = ReplayOutcome()
+            await run_callers_and_events(fleet, load, outcome)
             nursery.cancel_scope.cancel()
         return outcome
 
     return run_virtual(main, seed)
 
 
-def set_speeds(fleet: JobFleet, load: Load) -> None:
-    """Let the upstreams differ in speed, evenly from the fastest to the slowest."""
+def set_upstream_speeds(fleet: JobFleet, load: Load) -> None:
+    """Set the slowness of the upstreams, evenly spaced from fastest to slowest."""
     last = max(1, len(fleet.upstreams) - 1)
-    for place, upstream in enumerate(fleet.upstreams.values()):
-        slowness = 1 + (load.slowest - 1) * place / last
+    for index, upstream in enumerate(fleet.upstreams.values()):
+        slowness = 1 + (load.slowest - 1) * index / last
         upstream.behaviour = Behaviour(slowness=slowness)
 
 
-async def play(fleet: JobFleet, load: Load, outcome: Outcome) -> None:
-    """Let jobs arrive and events happen, and wait for the last job."""
+async def run_callers_and_events(
+    fleet: JobFleet, load: Load, outcome: ReplayOutcome
+) -> None:
+    """Run the callers and the events of a load until the last job has ended."""
     counted_from = trio.current_time() + WARM_UP_SECONDS
-    faults = Faults(fleet)
+    faults = FaultInjector(fleet)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(run_events, faults, load, counted_from)
         await Callers(fleet, load, outcome).run(counted_from)
 
 
-async def run_events(faults: Faults, load: Load, counted_from: float) -> None:
-    """Let the events of a load happen."""
+async def run_events(faults: FaultInjector, load: Load, counted_from: float) -> None:
+    """Run the events of a load, counted from the end of the warm-up."""
     await trio.sleep_until(counted_from)
     async with trio.open_nursery() as nursery:
         for event in load.events:
--- a/bergamotcourse/bench/replay/tally.py
+++ b/bergamotcourse/bench/replay/tally.py
@@ -1,22 +1,23 @@
-"""What became of the jobs of a replay."""
+"""Counts the outcomes of the jobs of a replay."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
 
 from bergamotcourse.coordination.jobs.job_run import LATE_FACTOR, JobOutcome
 
-LATE_WORTH = 0.2
-"""Of a job that is late, by the users' sheets."""
+LATE_WORTH_SHARE = 0.2
+"""Share of its worth that a late job earns, as the users' sheets state."""
 
 WINDOW_SECONDS = 2.0
-"""Length of the windows of which the worst are told."""
+"""Length of the arrival windows, of which the worst ones are reported."""
 
-WORST_WINDOWS = 2
+WORST_WINDOW_COUNT = 2
+"""Number of windows over which the share of the worst windows is averaged."""
 
 
 @dataclass
 class Tally:
-    """What became of some jobs.
+    """Outcome counts of a group of jobs.
 
     Attributes:
         refusals: Seconds from the arrival of a job to its refusal.
@@ -42,7 +43,7 @@
                 self.earned += worth
             case JobOutcome.SUCCEEDED if took <= LATE_FACTOR * objective:
                 self.late += 1
-                self.earned += worth * LATE_WORTH
+                self.earned += worth * LATE_WORTH_SHARE
             case JobOutcome.REFUSED:
                 self.refusals.append(took)
             case _:
@@ -54,21 +55,21 @@
 
 
 @dataclass
-class Outcome:
-    """What became of a replay: by kind, by window of arrival, and in all."""
+class ReplayOutcome:
+    """Outcome counts of a replay: by kind, by arrival window, and in total."""
 
     kinds: dict[str, Tally] = field(default_factory=lambda: defaultdict(Tally))
     windows: dict[int, Tally] = field(default_factory=lambda: defaultdict(Tally))
     total: Tally = field(default_factory=Tally)
 
     def add(self, kind: str, arrived: float, *job) -> None:
-        """Count one job that arrived so many seconds after the first."""
+        """Count one job that arrived ``arrived`` seconds into the counted time."""
         window = int(arrived / WINDOW_SECONDS)
         for tally in (self.kinds[kind], self.windows[window], self.total):
             tally.add(*job)
 
     def worst_windows(self) -> float:
-        """Return the mean share earned in the worst windows."""
+        """Return the mean share of worth earned in the worst windows."""
         shares = sorted(tally.share_earned() for tally in self.windows.values())
-        worst = shares[:WORST_WINDOWS]
+        worst = shares[:WORST_WINDOW_COUNT]
         return sum(worst) / len(worst) if worst else 1.0
--- a/bergamotcourse/commands/replay.py
+++ b/bergamotcourse/commands/replay.py
@@ -8,7 +8,11 @@
 
 from bergamotcourse.bench.replay.compare import compare
 from bergamotcourse.bench.replay.load_file import Load, read_load
-from bergamotcourse.bench.replay.report import draw, kinds_table, table
+from bergamotcourse.bench.replay.report import (
+    format_kinds_table,
+    format_policy_table,
+    plot_worth,
+)
 from bergamotcourse.commands.exit_codes import ExitCode
 from bergamotcourse.coordination.jobs.policy import SWITCHES, JobPolicy
 
@@ -46,7 +50,7 @@
     """Replay a load under all policies and print the results."""
     with ProcessPoolExecutor(jobs) as pool:
         rows = compare(load, policies, seeds, pool)
-    click.echo(table(rows))
-    click.echo(kinds_table(rows[0]))
+    click.echo(format_policy_table(rows))
+    click.echo(format_kinds_table(rows[0]))
     if plot is not None:
-        draw(rows, Path(plot))
+        plot_worth(rows, Path(plot))
--- a/bergamotcourse/tests/bench/test_replay.py
+++ b/bergamotcourse/tests/bench/test_replay.py
@@ -1,4 +1,4 @@
-"""Replays of loads: repeatable, and the gains of the mechanisms that are kept."""
+"""Replays are repeatable, and show the gains of mechanisms of the policy."""
 
 import pytest
 from expression import Result
@@ -26,68 +26,80 @@
 LOAD = Load(KINDS, load=0.6, seconds=2.0, entries=2, agents=3)
 
 
-def replayed(policy=None, seed=1, **changes):
+def replay_changed_load(policy=None, seed=1, **changes):
     load = structs.replace(LOAD, **changes)
     return replay(load, policy or JobPolicy(), seed)
 
 
 class TestReplay:
-    def test_the_same_seed_gives_the_same_figures(self):
-        first, again = (replayed() for _ in range(2))
+    def test_same_seed_gives_same_outcome(self):
+        first, again = (replay_changed_load() for _ in range(2))
         assert first == again
         assert first.total.count > 10
 
-    def test_more_than_there_is_room_for_is_refused(self):
-        assert replayed(load=2.5).total.refusals
+    def test_load_above_capacity_is_refused(self):
+        assert replay_changed_load(load=2.5).total.refusals
 
-    def test_a_burst_brings_more_of_its_kind(self):
+    def test_burst_adds_jobs_of_its_kind(self):
         burst = Burst(at=0.0, seconds=2.0, factor=3.0, job="view")
-        calm, busy = replayed(load=0.2), replayed(load=0.2, events=[burst])
+        calm, busy = (
+            replay_changed_load(load=0.2),
+            replay_changed_load(load=0.2, events=[burst]),
+        )
         assert busy.kinds["view"].count > 1.5 * calm.kinds["view"].count
 
-    def test_after_all_is_lost_jobs_are_served_again(self):
-        outcome = replayed(seconds=5.0, events=[AllLost(at=1.0, seconds=0.5)])
+    def test_jobs_are_served_after_all_processes_restart(self):
+        outcome = replay_changed_load(
+            seconds=5.0, events=[AllLost(at=1.0, seconds=0.5)]
+        )
         assert outcome.windows[0].share_earned() < 1.0
         assert outcome.windows[2].share_earned() > 0.8
 
-    def test_the_load_is_in_parts_of_what_upstreams_can_do(self):
+    def test_arrival_rate_is_proportional_to_load(self):
         assert jobs_per_second(LOAD) * 2 == pytest.approx(
             jobs_per_second(structs.replace(LOAD, load=1.2))
         )
 
 
 class TestGains:
-    """Each load that a kept mechanism answers, with it and without."""
+    """Loads on which one mechanism of the policy brings a gain, with and without it."""
 
-    def test_learnt_answer_times_when_orders_get_lost(self):
+    def test_learned_answer_times_reduce_late_jobs_when_orders_are_unanswered(self):
         event = Unanswered(at=0.0, seconds=6.0, upstreams=8, share=0.05)
         load = {"agents": 8, "entries": 3, "seconds": 5.0, "events": [event]}
         late = [
-            sum(replayed(policy, seed, **load).kinds["check"].late for seed in (1, 2))
+            sum(
+                replay_changed_load(policy, seed, **load).kinds["check"].late
+                for seed in (1, 2)
+            )
             for policy in (JobPolicy(), JobPolicy.without(["learns_answer_time"]))
         ]
-        # 1.7% and 11.4% of the checks are late over more seeds.
+        # Over more seeds, 1.7% of the checks are late with it and 11.4% without.
         assert 3 * late[0] <= late[1]
 
-    def test_doubt_at_once_when_upstreams_are_lost(self):
+    def test_immediate_doubt_earns_more_when_upstreams_crash(self):
         event = UpstreamLost(at=0.5, seconds=2.0, upstreams=2)
         changes = {"agents": 5, "seconds": 2.5, "events": [event]}
         earned = [
-            sum(replayed(policy, seed, **changes).total.earned for seed in (1, 2, 3))
+            sum(
+                replay_changed_load(policy, seed, **changes).total.earned
+                for seed in (1, 2, 3)
+            )
             for policy in (JobPolicy(), JobPolicy.without(["doubts_at_once"]))
         ]
-        # 0.952 and 0.926 of the worth over more seeds of a longer load.
+        # Over more seeds of a longer load, 0.952 of the worth is earned with it and
+        # 0.926 without.
         assert earned[0] > earned[1]
 
 
 class TestPolicy:
-    def test_a_mechanism_can_be_switched_off(self):
+    def test_mechanism_can_be_switched_off(self):
         policy = JobPolicy.without(["moves_runs"])
         assert not policy.moves_runs
         assert policy.switched_off() == ["moves_runs"]
         assert JobPolicy.without(SWITCHES).switched_off() == SWITCHES
 
-    def test_an_unknown_one_is_named(self):
+    def test_unknown_mechanism_is_rejected_by_name(self):
         with pytest.raises(ValueError, match="no mechanism luck"):
             JobPolicy.without(["luck"])
 
@@ -104,7 +116,7 @@
             (None, 1.0, 0.0),
         ],
     )
-    def test_a_job_earns_by_its_outcome_and_its_time(self, outcome, took, earned):
+    def test_job_earns_by_outcome_and_response_time(self, outcome, took, earned):
         tally = Tally()
         tally.add(outcome, took, 1.0, 10.0)
         assert tally.share_earned() == earned
@@ -126,7 +138,7 @@
             ),
         ],
     )  # fmt: skip
-    def test_what_is_wrong_is_told(self, change, detail):
+    def test_invalid_load_is_reported(self, change, detail):
         document = {
             "kinds": [{"name": "a", "share": 1, "tasks": 1, "work": 1}],
             **change,
@@ -135,10 +147,10 @@
             case Result(tag="error", error=issues):
                 assert detail in str(issues[0])
             case _:
-                pytest.fail("it was taken")
+                pytest.fail("invalid load was accepted")
 
 
 class TestInterval:
-    def test_holds_the_mean(self):
+    def test_interval_contains_the_mean(self):
         found = interval([0.1, 0.2, 0.3])
         assert found.low <= found.mean <= found.high
