--- a/bergamotcourse/bench/capacity.py
+++ b/bergamotcourse/bench/capacity.py
@@ -1,6 +1,8 @@
-"""Slopes for the capacity page: memory a record, store calls a process.
+"""Measure memory per stored record and platform calls per idle process.
 
-Run as ``python -m bergamotcourse.bench.capacity``; takes about a minute.
+The figures are the slopes that the capacity page quotes.
+
+Run as ``python -m bergamotcourse.bench.capacity``; it takes about a minute.
 """
 
 import tracemalloc
@@ -17,17 +19,17 @@
 from bergamotcourse.virtual.clock import run_virtual
 from bergamotcourse.virtual.fleet import FleetShape, VirtualFleet
 
-RECORDS = (2_000, 4_000, 8_000, 16_000)
-FLEETS = ((3, 11), (3, 50), (3, 100), (6, 50), (10, 50))
+RECORD_COUNTS = (2_000, 4_000, 8_000, 16_000)
+FLEET_SIZES = ((3, 11), (3, 50), (3, 100), (6, 50), (10, 50))
 IDLE_SECONDS = 60.0
-KEEP_MS = 600_000
+RETENTION_MS = 600_000
 ENTRY = EntryId("entry-1-00000000")
 ADDRESS = LinkAddress("tcp://10.20.1.11:7400")
 
 
 @dataclass(frozen=True)
-class Order:
-    """A start as the start log reads it."""
+class StartStub:
+    """Stands in for a ``Start``, with the fields that the start log reads."""
 
     submission: bytes
     token: int
@@ -40,63 +42,66 @@
 
 
 @dataclass(frozen=True)
-class Slope:
+class LinearFit:
     """A straight line fitted to measured points.
 
     Attributes:
-        spread: Greatest distance of a point from the line, as a share of the value.
+        max_relative_error: Greatest distance of a point from the line, divided by
+            the point's value.
     """
 
     base: float
     slope: float
-    spread: float
+    max_relative_error: float
 
 
-def fit(points: list[tuple[float, float]]) -> Slope:
-    """Return the line of least squares through points."""
+def fit_line(points: list[tuple[float, float]]) -> LinearFit:
+    """Return the least-squares line through the points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    over = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    slope = over / sum((x - mean_x) ** 2 for x, _ in points)
+    covariance_sum = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    slope = covariance_sum / sum((x - mean_x) ** 2 for x, _ in points)
     base = mean_y - slope * mean_x
     spread = max(abs(base + slope * x - y) / y for x, y in points)
-    return Slope(base, slope, spread)
+    return LinearFit(base, slope, spread)
 
 
-def identity(number: int) -> bytes:
-    """Return a submission's identity that no other number has."""
+def submission_id(number: int) -> bytes:
+    """Return a submission ID that is unique to the number."""
     return number.to_bytes(16, "big")
 
 
 def fill_ledger(count: int) -> Ledger:
-    """Return a ledger with so many records."""
-    ledger = Ledger(KEEP_MS)
+    """Return a ledger with ``count`` records."""
+    ledger = Ledger(RETENTION_MS)
     for number in range(count):
         record = LedgerRecord(
             range=RangeId(number % 64),
-            digest=identity(number + 1),
+            digest=submission_id(number + 1),
             entry=ENTRY,
             address=ADDRESS,
             attempt=Attempt(1),
             at_ms=number,
             claimed_ms=number,
         )
-        ledger.put(identity(number), record)
+        ledger.put(submission_id(number), record)
     return ledger
 
 
 def fill_start_log(count: int) -> StartLog:
-    """Return a start log with so many submissions of one task."""
-    log = StartLog(boot=9, token_ms=5_000, retention_ms=KEEP_MS, epochs_loaded=True)
+    """Return a start log with ``count`` submissions of one task each."""
+    log = StartLog(
+        boot=9, token_ms=5_000, retention_ms=RETENTION_MS, epochs_loaded=True
+    )
     for number in range(count):
-        order = Order(identity(number), log.issue_token(0))
+        order = StartStub(submission_id(number), log.issue_token(0))
         log.admit(order, ADDRESS, 0)
     return log
 
 
-def bytes_of(fill: Callable[[int], object], count: int) -> int:
-    """Return the bytes that a filled structure holds."""
+def measure_bytes(fill: Callable[[int], object], count: int) -> int:
+    """Return the bytes allocated by filling a structure with ``count`` records."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     held = fill(count)
@@ -106,8 +111,14 @@
     return after - before
 
 
-def store_calls(entries: int, agents: int) -> tuple[float, float, float, float]:
-    """Return reads and writes a second of an idle entry and an idle agent."""
+def measure_idle_store_calls(
+    entries: int, agents: int
+) -> tuple[float, float, float, float]:
+    """Return the platform calls per second of idle processes.
+
+    Returns:
+        Reads and writes of an entry, then reads and writes of an agent.
+    """
 
     async def main() -> tuple[float, float, float, float]:
         async with trio.open_nursery() as nursery:
@@ -115,9 +126,9 @@
             fleet = VirtualFleet(nursery, 1, shape)
             await fleet.start()
             await trio.sleep(IDLE_SECONDS / 2)
-            before = totals(fleet)
+            before = count_store_calls(fleet)
             await trio.sleep(IDLE_SECONDS)
-            after = totals(fleet)
+            after = count_store_calls(fleet)
             nursery.cancel_scope.cancel()
         change = Counter({key: after[key] - before[key] for key in after})
         return (
@@ -130,8 +141,8 @@
     return run_virtual(main, seed=1)
 
 
-def totals(fleet: VirtualFleet) -> Counter[tuple[str, bool]]:
-    """Return all calls so far, by kind of process and whether they write."""
+def count_store_calls(fleet: VirtualFleet) -> Counter[tuple[str, bool]]:
+    """Return the calls so far, by kind of process and whether they write."""
     total: Counter[tuple[str, bool]] = Counter()
     for client, kinds in fleet.platform.counters.items():
         for kind, count in kinds.items():
@@ -144,15 +155,15 @@
 def main() -> None:
     """Measure and print the slopes."""
     for name, fill in (("ledger", fill_ledger), ("start log", fill_start_log)):
-        points = [(count, bytes_of(fill, count)) for count in RECORDS]
-        line = fit(points)
+        points = [(count, measure_bytes(fill, count)) for count in RECORD_COUNTS]
+        line = fit_line(points)
         click.echo(
-            f"{name}: {line.slope:.0f} B a record (sizes {RECORDS},"
-            f" greatest distance from the line {line.spread:.1%})"
+            f"{name}: {line.slope:.0f} B a record (sizes {RECORD_COUNTS},"
+            f" greatest distance from the line {line.max_relative_error:.1%})"
         )
     click.echo("idle store calls a second (reads, writes) of an entry and of an agent:")
-    for entries, agents in FLEETS:
-        calls = store_calls(entries, agents)
+    for entries, agents in FLEET_SIZES:
+        calls = measure_idle_store_calls(entries, agents)
         shown = ", ".join(f"{one:.3f}" for one in calls)
         click.echo(f"  {entries} entries, {agents} agents: {shown}")
 
--- a/bergamotcourse/bench/control.py
+++ b/bergamotcourse/bench/control.py
@@ -1,8 +1,8 @@
 """Measure the control traffic of an entry and an agent, idle and under load.
 
-Run as ``python -m bergamotcourse.bench.control``. Counted is what is no start and no
-result: heartbeats, attachments, leases, configuration, and the calls to the platform
-with the bytes that HTTP adds to each. Times are on the virtual clock.
+Run as ``python -m bergamotcourse.bench.control``. Control traffic is everything
+except starts and results: heartbeats, attachments, leases, configuration, and the
+calls to the platform with the HTTP overhead of each. Times are on the virtual clock.
 """
 
 import random
@@ -21,112 +21,122 @@
 from bergamotcourse.virtual.clock import run_virtual
 from bergamotcourse.virtual.fleet import SERVICE, FleetShape, VirtualFleet
 
-HTTP_BYTES = 230
-"""Heads of a request and its answer to the platform, without bodies, as counted on
-loopback with ``PlatformClient``."""
+HTTP_OVERHEAD_BYTES = 230
+"""Size of the heads of a request to the platform and of its response, without bodies,
+counted on loopback with ``PlatformClient``."""
 
-SETTLE_SECONDS = 10.0
-RUN_MS = 300
-_part = msgspec.msgpack.Encoder()
+WARM_UP_SECONDS = 10.0
+TASK_RUN_MS = 300
+_encoder = msgspec.msgpack.Encoder()
 
 
 @dataclass
 class NodeTraffic:
-    """What one process sent and received that is no start and no result.
+    """Control traffic of one process.
 
     Attributes:
-        sent: Bytes.
-        received: Bytes.
+        sent_bytes: Bytes sent to other processes.
+        received_bytes: Bytes received from other processes.
         messages: Envelopes sent that carry no start and no result.
-        platform: Bytes of calls to the platform and their answers.
-        calls: To the platform.
+        platform_bytes: Bytes of calls to the platform and of their responses.
+        platform_calls: Calls to the platform.
     """
 
-    sent: int = 0
-    received: int = 0
+    sent_bytes: int = 0
+    received_bytes: int = 0
     messages: int = 0
-    platform: int = 0
-    calls: int = 0
+    platform_bytes: int = 0
+    platform_calls: int = 0
 
 
 @dataclass
 class Meter:
-    """Counts a fleet's traffic while it is on.
+    """Counts the control traffic of a fleet while it is enabled.
 
     Attributes:
-        kinds: Bytes by type of message, of all processes.
+        bytes_by_kind: Bytes of control traffic of all processes, by type of
+            message.
+        tasks: Results counted.
     """
 
-    on: bool = False
+    enabled: bool = False
     nodes: defaultdict[str, NodeTraffic] = field(
         default_factory=lambda: defaultdict(NodeTraffic)
     )
-    kinds: Counter[str] = field(default_factory=Counter)
+    bytes_by_kind: Counter[str] = field(default_factory=Counter)
     tasks: int = 0
 
-    def note_payload(self, sender: str, receiver: str, payload: bytes) -> None:
-        """Count one envelope."""
-        if not self.on:
+    def count_envelope(self, sender: str, receiver: str, payload: bytes) -> None:
+        """Count the control traffic in one envelope.
+
+        Starts and results are not counted, except for the load that a result carries.
+        """
+        if not self.enabled:
             return
         envelope = decode(payload).ok
-        control = len(payload)
-        work = 0
+        control_bytes = len(payload)
+        task_bytes = 0
         for message in envelope.messages:
-            size = len(_part.encode(message))
+            size = len(_encoder.encode(message))
             match message:
                 case Start():
-                    work += size
+                    task_bytes += size
                 case TaskResult(load=load):
-                    rides = len(_part.encode(load)) - 1 if load else 0
-                    self.kinds["load in a result"] += rides
-                    work += size - rides
+                    load_bytes = len(_encoder.encode(load)) - 1 if load else 0
+                    self.bytes_by_kind["load in a result"] += load_bytes
+                    task_bytes += size - load_bytes
                     self.tasks += 1
                 case _:
-                    self.kinds[type(message).__name__] += size
-        if work:
-            # The envelope itself is then no control traffic.
-            control = sum(len(_part.encode(m)) for m in envelope.messages) - work
-        self.nodes[sender].sent += control
-        self.nodes[receiver].received += control
-        self.nodes[sender].messages += not work
+                    self.bytes_by_kind[type(message).__name__] += size
+        if task_bytes:
+            # An envelope that carries a start or a result would be sent anyway, so its
+            # own overhead is not counted as control traffic.
+            control_bytes = (
+                sum(len(_encoder.encode(m)) for m in envelope.messages) - task_bytes
+            )
+        self.nodes[sender].sent_bytes += control_bytes
+        self.nodes[receiver].received_bytes += control_bytes
+        self.nodes[sender].messages += not task_bytes
 
-    def note_call(self, client: str, size: int) -> None:
-        """Count one call to the platform."""
-        if self.on:
-            self.nodes[client].platform += size + HTTP_BYTES
-            self.nodes[client].calls += 1
+    def count_platform_call(self, client: str, size: int) -> None:
+        """Count one call to the platform and the HTTP overhead."""
+        if self.enabled:
+            self.nodes[client].platform_bytes += size + HTTP_OVERHEAD_BYTES
+            self.nodes[client].platform_calls += 1
 
 
 class MeteredView(ClientView):
-    """The platform as one client sees it, with its traffic counted."""
+    """One client's view of the platform that counts the client's traffic."""
 
     def __init__(self, platform: "MeteredPlatform", client: str):
         super().__init__(platform, client)
         self.meter = platform.meter
 
     async def transact_as(self, writer: str, writes: list) -> object:
-        """Count the writes too."""
-        self.meter.note_call(self.client, len(_part.encode(writes)) - HTTP_BYTES)
+        """Count the bytes of the writes, then transact."""
+        self.meter.count_platform_call(
+            self.client, len(_encoder.encode(writes)) - HTTP_OVERHEAD_BYTES
+        )
         return await super().transact_as(writer, writes)
 
     async def _call(self, kind: CallKind, effect: Callable) -> object:
         answer = await super()._call(kind, effect)
-        size = len(_part.encode(answer.ok)) if answer.is_ok() else 0
-        self.meter.note_call(self.client, size)
-        if kind is CallKind.TRANSACT and self.meter.on:
-            self.meter.nodes[self.client].calls -= 1
+        size = len(_encoder.encode(answer.ok)) if answer.is_ok() else 0
+        self.meter.count_platform_call(self.client, size)
+        if kind is CallKind.TRANSACT and self.meter.enabled:
+            self.meter.nodes[self.client].platform_calls -= 1
         return answer
 
 
 class MeteredPlatform(MemoryPlatform):
-    """The platform in memory, with the traffic of its clients counted."""
+    """In-memory platform that counts the traffic of its clients."""
 
     def __init__(self, meter: Meter, rng: random.Random):
         self.meter = meter
         super().__init__(rng=rng)
 
     def view(self, client: str) -> ClientView:
-        """Return the platform as a client sees it, always the same one."""
+        """Return the client's view of the platform; the same object on each call."""
         if client not in self.views:
             self.views[client] = MeteredView(self, client)
         return self.views[client]
@@ -134,11 +144,11 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One measurement.
+    """Parameters of one measurement.
 
     Attributes:
-        rate: Requests a second, over all entries; 0 for idle.
-        seconds: Measured time.
+        rate: Requests per second to all entries together; 0 for an idle fleet.
+        seconds: Length of the measurement on the virtual clock.
     """
 
     agents: int
@@ -148,15 +158,15 @@
     seconds: float
 
 
-async def serve(fleet: VirtualFleet, plan: Plan, rng: random.Random) -> None:
-    """Send requests for the time of the measurement and the time before it."""
+async def send_requests(fleet: VirtualFleet, plan: Plan, rng: random.Random) -> None:
+    """Send requests during the second half of the warm-up and the measurement."""
 
     async def call(number: int) -> None:
-        request = HttpRequest("POST", f"/s/{SERVICE}/cast?run_ms={RUN_MS}")
+        request = HttpRequest("POST", f"/s/{SERVICE}/cast?run_ms={TASK_RUN_MS}")
         request.body = f"ballot-{number}".encode()
         await fleet.call(rng.choice(list(fleet.entries)), request)
 
-    end = trio.current_time() + SETTLE_SECONDS / 2 + plan.seconds
+    end = trio.current_time() + WARM_UP_SECONDS / 2 + plan.seconds
     number = 0
     async with trio.open_nursery() as nursery:
         while trio.current_time() < end:
@@ -166,7 +176,7 @@
 
 
 def measure(plan: Plan, seed: int = 1) -> Meter:
-    """Run a virtual fleet and return its traffic."""
+    """Run a virtual fleet and return the traffic that was counted."""
     meter = Meter()
 
     async def main() -> None:
@@ -181,31 +191,31 @@
             def carry_counted(
                 sender: LinkAddress, receiver: LinkAddress, payload: bytes
             ) -> None:
-                meter.note_payload(_name(sender), _name(receiver), payload)
+                meter.count_envelope(_node_name(sender), _node_name(receiver), payload)
                 carry(sender, receiver, payload)
 
             fleet.network.carry = carry_counted
             await fleet.start()
-            await trio.sleep(SETTLE_SECONDS)
+            await trio.sleep(WARM_UP_SECONDS)
             async with trio.open_nursery() as load:
                 if plan.rate:
-                    load.start_soon(serve, fleet, plan, random.Random(seed))
-                    await trio.sleep(SETTLE_SECONDS / 2)
-                meter.on = True
+                    load.start_soon(send_requests, fleet, plan, random.Random(seed))
+                    await trio.sleep(WARM_UP_SECONDS / 2)
+                meter.enabled = True
                 await trio.sleep(plan.seconds)
-                meter.on = False
+                meter.enabled = False
             nursery.cancel_scope.cancel()
 
     run_virtual(main, seed)
     return meter
 
 
-def _name(address: LinkAddress) -> str:
+def _node_name(address: LinkAddress) -> str:
     return address.removeprefix("tcp://")
 
 
 def print_row(plan: Plan, meter: Meter) -> None:
-    """Print the means a node and second, and the greatest of all nodes."""
+    """Print the means per process and second, and the maximum over all processes."""
     for kind in ("entry", "agent"):
         nodes = [t for name, t in meter.nodes.items() if name.startswith(kind)]
         count = plan.entries if kind == "entry" else plan.agents
@@ -213,16 +223,20 @@
         def mean(value: Callable[[NodeTraffic], float], nodes=nodes, n=count) -> float:
             return sum(map(value, nodes)) / n / plan.seconds
 
-        total = [t.sent + t.received + t.platform for t in nodes] or [0]
+        total = [t.sent_bytes + t.received_bytes + t.platform_bytes for t in nodes] or [
+            0
+        ]
         click.echo(
             f"{plan.agents:6} {plan.entries:7} {plan.neighbours:5} {plan.rate:7.0f}"
-            f" {kind:6} {mean(lambda t: t.sent):8.0f} {mean(lambda t: t.received):8.0f}"
-            f" {mean(lambda t: t.platform):8.0f} {max(total) / plan.seconds:9.0f}"
-            f" {mean(lambda t: t.messages):7.2f} {mean(lambda t: t.calls):6.2f}"
+            f" {kind:6} {mean(lambda t: t.sent_bytes):8.0f}"
+            f" {mean(lambda t: t.received_bytes):8.0f}"
+            f" {mean(lambda t: t.platform_bytes):8.0f} {max(total) / plan.seconds:9.0f}"
+            f" {mean(lambda t: t.messages):7.2f}"
+            f" {mean(lambda t: t.platform_calls):6.2f}"
         )
     if plan.rate and meter.tasks:
-        rides = meter.kinds["load in a result"] / meter.tasks
-        click.echo(f"{'':30} load in a result: {rides:.1f} B a task")
+        load_bytes = meter.bytes_by_kind["load in a result"] / meter.tasks
+        click.echo(f"{'':30} load in a result: {load_bytes:.1f} B a task")
 
 
 @click.command()
@@ -230,7 +244,7 @@
 @click.option("--entries", default=3)
 @click.option("--neighbours", default=32)
 @click.option("--load", default=0.3, help="Share of the slots in use; 0 for idle.")
-@click.option("--most-rate", default=600.0, help="Greatest rate of requests.")
+@click.option("--most-rate", default=600.0, help="Highest rate of requests per second.")
 @click.option("--seconds", default=20.0)
 def main(
     agents: str,
@@ -249,10 +263,10 @@
         rates = [0.0]
         if load:
             slots = count * FleetShape().slots
-            rates.append(min(most_rate, load * slots / (RUN_MS / 1000)))
+            rates.append(min(most_rate, load * slots / (TASK_RUN_MS / 1000)))
         for rate in rates:
-            span = seconds if not rate else min(seconds, 6.0)
-            plan = Plan(count, entries, neighbours, rate, span)
+            measured_seconds = seconds if not rate else min(seconds, 6.0)
+            plan = Plan(count, entries, neighbours, rate, measured_seconds)
             print_row(plan, measure(plan))
 
 
--- a/bergamotcourse/bench/leaving.py
+++ b/bergamotcourse/bench/leaving.py
@@ -1,7 +1,8 @@
-"""Measure for how long a leaver still gets new work.
+"""Measure how long a leaving process still receives new work.
 
 Run as ``python -m bergamotcourse.bench.leaving``. A virtual fleet serves a steady
-load; then something leaves or is drained. Times are on the virtual clock.
+load; then an upstream or agent leaves, or a drain is accepted. Times are on the
+virtual clock.
 """
 
 import random
@@ -20,22 +21,22 @@
 from bergamotcourse.virtual.clock import run_virtual
 from bergamotcourse.virtual.fleet import SERVICE, VirtualFleet, default_manifest
 
-REQUESTS_A_SECOND = 100.0
-RUN_MS = 60
+REQUESTS_PER_SECOND = 100.0
+TASK_RUN_MS = 60
 BEFORE_SECONDS = 2.0
 AFTER_SECONDS = 5.0
 OLD_RELEASE = "old"
 
 
 class Leaver(Enum):
-    """What leaves.
+    """What leaves the fleet, and how.
 
     Attributes:
-        UPSTREAM_LEAVES: It tells its agent.
-        AGENT_STOPS: As planned.
+        UPSTREAM_ANNOUNCES_LEAVING: An upstream reports to its agent that it leaves.
+        AGENT_STOPS: An agent stops in an orderly way, as planned.
     """
 
-    UPSTREAM_LEAVES = "upstream says it leaves"
+    UPSTREAM_ANNOUNCES_LEAVING = "upstream says it leaves"
     AGENT_STOPS = "agent stops"
     UPSTREAM = "drain of an upstream"
     WORKER = "drain of a worker"
@@ -51,20 +52,23 @@
     Leaver.ZONE: Drain(kind=DrainKind.ZONE, name="zone-2"),
     Leaver.RELEASE: Drain(kind=DrainKind.RELEASE, name=OLD_RELEASE),
 }
-AGENT = "agent-2"
+LEAVING_AGENT = "agent-2"
 
 
 @dataclass
 class LeavingRun:
-    """One run.
+    """Parameters and results of one run.
 
     Attributes:
-        told: The operator's machine reaches the entries.
-        store_goes: The platform goes away at the accept.
-        left_at: Seconds; when it left, or the drain was accepted.
-        last_start: Seconds; the last new work there.
-        starts_before: New work there before.
-        failed: Requests that were not answered with success.
+        told: Whether the operator's machine can reach the entries to announce the
+            drain.
+        store_goes: Whether the platform becomes unavailable at the accept.
+        left_at: Time in seconds when the process began to leave or the drain was
+            accepted.
+        last_start: Time in seconds of the last start at a leaving upstream.
+        starts_before: Starts at leaving upstreams before ``left_at``.
+        answered: Requests that have ended, with success or not.
+        failed: Statuses of the requests that did not succeed; 0 without a response.
     """
 
     leaver: Leaver
@@ -78,15 +82,15 @@
 
     @property
     def seconds(self) -> float:
-        """For how long new work still came."""
+        """Seconds from ``left_at`` to the last start; 0 if none came after it."""
         return max(0.0, self.last_start - self.left_at)
 
 
 async def serve_load(fleet: VirtualFleet, run: LeavingRun, rng: random.Random) -> None:
-    """Send requests for a while and wait for their answers."""
+    """Send requests at a steady mean rate and wait for their responses."""
 
     async def call(number: int) -> None:
-        request = HttpRequest("POST", f"/s/{SERVICE}/cast?run_ms={RUN_MS}")
+        request = HttpRequest("POST", f"/s/{SERVICE}/cast?run_ms={TASK_RUN_MS}")
         request.body = f"ballot-{number}".encode()
         answer = await fleet.call(rng.choice(list(fleet.entries)), request)
         run.answered += 1
@@ -99,17 +103,17 @@
         while trio.current_time() < end:
             nursery.start_soon(call, number)
             number += 1
-            await trio.sleep(rng.expovariate(REQUESTS_A_SECOND))
+            await trio.sleep(rng.expovariate(REQUESTS_PER_SECOND))
 
 
-async def leave(fleet: VirtualFleet, run: LeavingRun) -> None:
-    """Let the leaver leave."""
+async def start_leaving(fleet: VirtualFleet, run: LeavingRun) -> None:
+    """Make the process of the run leave, or accept its drain."""
     drain = DRAINS.get(run.leaver)
     if drain is not None:
         await accept_drain(fleet, run, drain)
         return
     run.left_at = trio.current_time()
-    process = fleet.agents[AGENT]
+    process = fleet.agents[LEAVING_AGENT]
     if run.leaver is Leaver.AGENT_STOPS:
         await process.stop()
         return
@@ -119,7 +123,7 @@
 
 
 async def accept_drain(fleet: VirtualFleet, run: LeavingRun, drain: Drain) -> None:
-    """Accept a drain as the command does."""
+    """Accept a drain and announce it, as the ``drain`` command does."""
     operator = fleet.platform.view("operator")
     rows = (await read_lease_rows(operator)).default_value([])
     manifest = replace(default_manifest(), policy=Policy(drains=[drain]))
@@ -132,8 +136,8 @@
         await announce(link, operator, addresses, applied.accepted)
 
 
-def covered(fleet: VirtualFleet, leaver: Leaver) -> set[str]:
-    """Return the names of the agents whose upstreams leave."""
+def leaving_agents(fleet: VirtualFleet, leaver: Leaver) -> set[str]:
+    """Return the names of the agents whose upstreams leave or are drained."""
     places = {name: process.agent.location for name, process in fleet.agents.items()}
     match leaver:
         case Leaver.RACK:
@@ -143,32 +147,32 @@
         case Leaver.RELEASE:
             return {"agent-2", "agent-4"}
         case _:
-            return {AGENT}
+            return {LEAVING_AGENT}
 
 
 def measure(seed: int, run: LeavingRun) -> LeavingRun:
-    """Run a virtual fleet in which something leaves; return the filled-in run."""
+    """Run a virtual fleet in which a process leaves; return the filled-in run."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             fleet = VirtualFleet(nursery, seed)
             await fleet.start()
-            gone = covered(fleet, run.leaver)
+            leaving = leaving_agents(fleet, run.leaver)
             if run.leaver is Leaver.RELEASE:
-                for name in gone:
+                for name in leaving:
                     fleet.agents[name].upstream.release = OLD_RELEASE
 
-            def note(name: str, _request: HttpRequest) -> None:
-                if name in gone:
+            def record_start(name: str, _request: HttpRequest) -> None:
+                if name in leaving:
                     run.starts_before += trio.current_time() < run.left_at
                     run.last_start = trio.current_time()
 
-            fleet.on_start = note
+            fleet.on_start = record_start
             rng = random.Random(seed)
 
             async def leave_later() -> None:
                 await trio.sleep(BEFORE_SECONDS + rng.random())
-                await leave(fleet, run)
+                await start_leaving(fleet, run)
 
             async with trio.open_nursery() as inner:
                 inner.start_soon(serve_load, fleet, run, rng)
@@ -180,7 +184,7 @@
 
 
 def print_row(name: str, runs: list[LeavingRun]) -> None:
-    """Print the distribution of the times."""
+    """Print the distribution of the times in seconds, and the failures."""
     times = sorted(run.seconds for run in runs)
     answered = sum(run.answered for run in runs)
     failed = sum(len(run.failed) for run in runs)
@@ -194,23 +198,23 @@
 @click.command()
 @click.option("--seeds", default=20)
 def main(seeds: int) -> None:
-    """Measure how long leavers still get work."""
+    """Measure how long leaving processes still receive work."""
     click.echo(
         f"{'leaver':44} {'runs':>5} {'median':>7} {'p95':>7} {'max':>7}"
         f" {'answered':>8} {'failed':>6}"
     )
     for leaver in Leaver:
-        ways = [("", {})]
+        variants = [("", {})]
         if leaver in DRAINS:
-            ways += [
+            variants += [
                 (", operator cannot tell", {"told": False}),
                 (", store goes at once", {"store_goes": True}),
             ]
-        for words, options in ways:
+        for suffix, options in variants:
             runs = [
                 measure(seed, LeavingRun(leaver, **options)) for seed in range(seeds)
             ]
-            print_row(leaver.value + words, runs)
+            print_row(leaver.value + suffix, runs)
 
 
 if __name__ == "__main__":
--- a/bergamotcourse/bench/reference.py
+++ b/bergamotcourse/bench/reference.py
@@ -1,25 +1,25 @@
-"""A fixed piece of work, as the unit of what is measured beside it.
+"""A fixed piece of work that other measurements are compared with.
 
-The machine's speed changes within seconds where others use it too; the ratio of two
-measurements that were taken in turn changes less.
+The speed of a shared machine changes within seconds. The ratio of two measurements
+that are taken right after one another varies less than either of them.
 """
 
 import time
 
-ROUNDS = 400
+ITERATIONS = 400
 REPETITIONS = 3
-US = 1e6
+US_PER_SECOND = 1e6
 
 
 def reference_us() -> float:
-    """Return microseconds of processor time for the fixed work, the best of three."""
-    return min(_timed_us() for _ in range(REPETITIONS))
+    """Return the processor time of the fixed work in microseconds, best of three."""
+    return min(_run_once_us() for _ in range(REPETITIONS))
 
 
-def _timed_us() -> float:
+def _run_once_us() -> float:
     began = time.process_time()
     counts: dict[str, int] = {}
-    for number in range(ROUNDS):
+    for number in range(ITERATIONS):
         name = f"task {number % 17}"
         counts[name] = counts.get(name, 0) + len(name.encode())
-    return (time.process_time() - began) * US
+    return (time.process_time() - began) * US_PER_SECOND
--- a/bergamotcourse/bench/stage_measure.py
+++ b/bergamotcourse/bench/stage_measure.py
@@ -1,4 +1,4 @@
-"""Measuring one stage: its processor time and its function calls."""
+"""Measures the processor time and the function calls of one stage."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -8,16 +8,16 @@
 from bergamotcourse.bench.reference import reference_us
 
 REPETITIONS = 9
-US = 1e6
+US_PER_SECOND = 1e6
 
 
 @dataclass(frozen=True)
 class Stage:
-    """One stage.
+    """One stage in the processing of a request.
 
     Attributes:
-        run: Does the work.
-        tasks: How many tasks the work has.
+        run: Performs the work of the stage.
+        tasks: Number of tasks that one run processes.
     """
 
     name: str
@@ -26,10 +26,10 @@
 
 
 async def measure(stage: Stage) -> tuple[list[float], list[float]]:
-    """Return processor time a task, for each repetition.
+    """Measure the processor time per task in each repetition.
 
     Returns:
-        Microseconds, and the same in units of the reference work.
+        The times in microseconds, and the same times divided by the reference work.
     """
     await stage.run()
     figures, ratios = [], []
@@ -37,14 +37,17 @@
         reference = reference_us()
         began = time.process_time()
         await stage.run()
-        figure = (time.process_time() - began) / stage.tasks * US
+        figure = (time.process_time() - began) / stage.tasks * US_PER_SECOND
         figures.append(figure)
         ratios.append(figure / min(reference, reference_us()))
     return figures, ratios
 
 
 async def count_calls(stage: Stage) -> float:
-    """Return the function calls a task, of Python and of C; no other load moves it."""
+    """Return the Python and C function calls per task.
+
+    Unlike processor time, the count does not depend on other load on the machine.
+    """
     profile = Profile()
     profile.enable()
     await stage.run()
--- a/bergamotcourse/bench/stage_parts.py
+++ b/bergamotcourse/bench/stage_parts.py
@@ -1,4 +1,4 @@
-"""What stands at the edges of a stage that is measured by itself."""
+"""Stand-ins and sample messages for stages that are measured in isolation."""
 
 from dataclasses import dataclass, field, replace
 
@@ -23,35 +23,36 @@
 )
 
 
-class CannedStream(trio.abc.HalfCloseableStream):
-    """Gives the same bytes for each write, so many times; then its end.
+class RepeatingStream(trio.abc.HalfCloseableStream):
+    """Returns the same bytes after each write, a fixed number of times, then EOF.
 
     Attributes:
-        times: How often the bytes are still given.
-        due: How often they may be given before the next write.
+        remaining: How often the bytes are still returned.
+        pending: How often they can be returned before the next write.
+        written: Wakes readers after a write.
     """
 
-    def __init__(self, data: bytes, times: int, first: bool):
+    def __init__(self, data: bytes, remaining: int, ready_at_start: bool):
         self.data = data
-        self.times = times
-        self.due = int(first)
-        self.changed = trio.lowlevel.ParkingLot()
+        self.remaining = remaining
+        self.pending = int(ready_at_start)
+        self.written = trio.lowlevel.ParkingLot()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Return the bytes once for each write."""
-        while self.times and not self.due:
-            await self.changed.park()
-        if not self.times:
+        """Return the bytes once for each write, or ``b""`` at the end."""
+        while self.remaining and not self.pending:
+            await self.written.park()
+        if not self.remaining:
             return b""
-        self.due -= 1
-        self.times -= 1
+        self.pending -= 1
+        self.remaining -= 1
         return self.data
 
     async def send_all(self, data: bytes) -> None:
-        """Drop what is written."""
+        """Discard the data and allow one more read."""
         await trio.lowlevel.checkpoint()
-        self.due += 1
-        self.changed.unpark()
+        self.pending += 1
+        self.written.unpark()
 
     async def wait_send_all_might_not_block(self) -> None:
         """Return at once."""
@@ -64,13 +65,13 @@
 
 
 @dataclass
-class Posted:
-    """Stands in for a mailer's ``post`` and keeps the messages."""
+class PostRecorder:
+    """Stands in for a mailer's ``post`` and records the messages."""
 
     messages: list[object] = field(default_factory=list)
 
     def __call__(self, peer: LinkAddress, message: object) -> bool:
-        """Keep a message."""
+        """Record a message."""
         self.messages.append(message)
         return True
 
@@ -80,14 +81,14 @@
 
 
 def wire_request() -> bytes:
-    """Return a session request as a caller's client writes it."""
+    """Return a session request as bytes on the wire."""
     request = session_request(BODY)
     head = request_head(request, HOST)
     return encode_message(h11.Connection(h11.CLIENT), head, request.body)
 
 
 def result_for(start: Start) -> TaskResult:
-    """Return the result that an upstream's answer gives."""
+    """Return the result of a start that the upstream answers with success."""
     return TaskResult(
         start.submission,
         start.index,
@@ -102,7 +103,7 @@
 
 
 def start_message(number: int, token: int) -> Start:
-    """Return the start of a session request."""
+    """Return a start message of a session request."""
     headers = [Header("content-type", "text/plain"), Header("host", "127.0.0.1:4000")]
     identity = number.to_bytes(16)
     return Start(
@@ -112,7 +113,7 @@
 
 
 def unlimited_manifest() -> Manifest:
-    """Return a manifest whose quotas hold nothing back."""
+    """Return a manifest with quotas that never limit the load."""
     manifest = default_manifest()
     teams = [
         replace(team, quota_starts_per_second=UNLIMITED) for team in manifest.teams
--- a/bergamotcourse/bench/stages.py
+++ b/bergamotcourse/bench/stages.py
@@ -1,12 +1,13 @@
-"""Split the cost of a request into the stages it passes through.
-
-Run as ``python -m bergamotcourse.bench.stages``; it takes about 20 s. Each stage is
-run by itself in this process: the real object, with stand-ins at its edges that cost
-next to nothing (a stream that repeats one message, a mailer that keeps what is
-posted). Figures are processor time of all threads a task, so that waiting does not
-count; the kernel's part of HTTP is left out, that of the links is in. Beside it stand
-the same in units of ``reference``, measured before and after each repetition, and the
-function calls a task, counted in one more repetition under ``cProfile``.
+"""Measure the processor time of each stage that a request passes through.
+
+Run as ``python -m bergamotcourse.bench.stages``; it takes about 20 s. Each stage
+runs in isolation in this process: the real object, with stand-ins for its neighbours
+that cost next to nothing (a stream that repeats one message, a mailer that records
+what is posted). Figures are processor time of all threads per task, so waiting does
+not count; kernel time of HTTP is excluded, that of the links is included. The same
+times are also printed relative to ``reference``, which is measured before and after
+each repetition, with the function calls per task, which are counted in one more
+repetition under ``cProfile``.
 """
 
 from collections.abc import Callable
@@ -19,14 +20,14 @@
 from expression import Ok
 
 from bergamotcourse.bench.launcher import HOST, SERVICE, session_request
-from bergamotcourse.bench.path import job_request, spread
+from bergamotcourse.bench.path import format_spread, job_request
 from bergamotcourse.bench.stage_measure import Stage, count_calls, measure
 from bergamotcourse.bench.stage_parts import (
     BODY,
     RESPONSE,
     RESPONSE_BODY,
-    CannedStream,
-    Posted,
+    PostRecorder,
+    RepeatingStream,
     result_for,
     start_message,
     unlimited_manifest,
@@ -56,7 +57,7 @@
 
 
 def http_server() -> Stage:
-    """Receive a request and send its response, at the entry."""
+    """Return the stage in which the entry receives a request and responds."""
     wire = wire_request()
     response_headers = [("content-type", "text/plain")]
 
@@ -64,18 +65,18 @@
         return HttpResponse(200, list(response_headers), RESPONSE_BODY)
 
     async def run() -> None:
-        stream = CannedStream(wire, REQUESTS, first=True)
+        stream = RepeatingStream(wire, REQUESTS, ready_at_start=True)
         await ServerConnection(stream, answer, ServerLimits()).run()
 
     return Stage("entry: HTTP, receive and respond", run, REQUESTS)
 
 
 def http_client() -> Stage:
-    """Send a request and receive its response, at the agent."""
+    """Return the stage in which the agent sends a request to the upstream."""
     request = HttpRequest("POST", "/cast", [("content-type", "text/plain")], BODY)
 
-    async def connect(host: str, port: int) -> CannedStream:
-        return CannedStream(RESPONSE, REQUESTS, first=False)
+    async def connect(host: str, port: int) -> RepeatingStream:
+        return RepeatingStream(RESPONSE, REQUESTS, ready_at_start=False)
 
     async def run() -> None:
         client = HttpClient(HOST, 1, connect=connect)
@@ -86,16 +87,16 @@
 
 
 def submission_stages(entry: VirtualEntry) -> list[Stage]:
-    """Authorize, make the submission, claim it where it has a key, respond."""
+    """Return stages that authorize, build a submission, claim its key and respond."""
     dispatcher = entry.entry.dispatcher
     prefix = entry.entry.key_prefix()
 
-    def settle(submission: Submission) -> None:
+    def finish_at_once(submission: Submission) -> None:
         start = Start(submission.id, 0, 1, 1, 0, 1, 0, "", "", "", "", [], b"", 0)
         submission.finish(0, result_for(start))
 
     async def run_with(make: Callable[[], HttpRequest]) -> None:
-        dispatcher.submit = settle
+        dispatcher.submit = finish_at_once
         try:
             for _ in range(REQUESTS):
                 response = await entry.api.handle(make())
@@ -123,7 +124,7 @@
 
 
 def dispatch_stage(entry: VirtualEntry, name: str, tasks: int, times: int) -> Stage:
-    """Queue, pick agents, make the starts, take the states and results."""
+    """Return a stage that queues tasks, picks agents, sends starts, handles results."""
     numbers = count()
     dispatcher = entry.entry.dispatcher
     mailer = entry.entry.mailer
@@ -140,7 +141,7 @@
         return made
 
     async def run() -> None:
-        posted = Posted()
+        posted = PostRecorder()
         mailer.post = posted
         try:
             for _ in range(times):
@@ -158,7 +159,10 @@
 
 
 def agent_stage(agent: VirtualAgent) -> Stage:
-    """Admit a start, run it at an upstream that answers at once, post its result."""
+    """Return the stage that admits a start, runs it and posts its result.
+
+    The upstream responds at once.
+    """
     one = agent.agent
     entry = LinkAddress("tcp://127.0.0.1:1")
     answer = HttpResponse(200, [("content-type", "text/plain")], RESPONSE_BODY)
@@ -168,7 +172,7 @@
         return Ok(answer)
 
     async def run() -> None:
-        posted = Posted()
+        posted = PostRecorder()
         one.mailer.post = posted
         agent.upstream.request = request
         try:
@@ -188,28 +192,28 @@
 def link_stage(
     mailers: list[Mailer], load: AgentLoad, name: str, tasks: int, times: int
 ) -> Stage:
-    """Carry starts one way, and their results with the agent's load back."""
+    """Return a stage that carries starts to an agent, and results with load back."""
     entry, agent = mailers
     entry_address = LinkAddress(entry.link.address)
     agent_address = LinkAddress(agent.link.address)
-    left = 0
+    outstanding = 0
     done = trio.Event()
 
     def answer(_: LinkAddress, message: object) -> None:
         result = msgspec.structs.replace(result_for(message), load=load)
         agent.post(entry_address, result)
 
-    def take(_: LinkAddress, message: object) -> None:
-        nonlocal left
-        left -= isinstance(message, TaskResult)
-        if not left:
+    def count_result(_: LinkAddress, message: object) -> None:
+        nonlocal outstanding
+        outstanding -= isinstance(message, TaskResult)
+        if not outstanding:
             done.set()
 
     async def run() -> None:
-        nonlocal left, done
-        agent.handler, entry.handler = answer, take
+        nonlocal outstanding, done
+        agent.handler, entry.handler = answer, count_result
         for _ in range(times):
-            left, done = tasks, trio.Event()
+            outstanding, done = tasks, trio.Event()
             for index in range(tasks):
                 entry.post(agent_address, start_message(index, 0))
             await done.wait()
@@ -218,7 +222,7 @@
 
 
 def job_stage() -> Stage:
-    """Parse a job and encode its answer."""
+    """Return the stage that parses a job and encodes its answer."""
     content = job_request(JOB_TASKS, 0).body
 
     async def run() -> None:
@@ -232,7 +236,7 @@
 
 
 async def run() -> None:
-    """Measure all stages and print them."""
+    """Measure all stages and print the table."""
     shape = FleetShape(entries=1, agents=AGENTS, link_delay=0, caller_delay=0)
     async with trio.open_nursery() as nursery:
         fleet = VirtualFleet(nursery, shape=shape)
@@ -261,7 +265,12 @@
         )
         for stage in stages:
             figures, ratios = await measure(stage)
-            cells = [stage.name, stage.tasks, spread(figures, 1), spread(ratios, 2)]
+            cells = [
+                stage.name,
+                stage.tasks,
+                format_spread(figures, 1),
+                format_spread(ratios, 2),
+            ]
             cells.append(f"{await count_calls(stage):.0f}")
             click.echo(f"| {' | '.join(str(cell) for cell in cells)} |")
         nursery.cancel_scope.cancel()
--- a/bergamotcourse/tests/coordination/test_in_force.py
+++ b/bergamotcourse/tests/coordination/test_in_force.py
@@ -1,7 +1,7 @@
 import msgspec
 import trio
 
-from bergamotcourse.bench.configuration import Changes, Figures
+from bergamotcourse.bench.configuration import ConfigChangeRun, Figures
 from bergamotcourse.coordination.config_announce import announce
 from bergamotcourse.coordination.config_store import apply
 from bergamotcourse.coordination.in_force import (
@@ -116,7 +116,7 @@
 
         async def main(fleet):
             figures = Figures()
-            await Changes(fleet, 3, figures).run(6)
+            await ConfigChangeRun(fleet, 3, figures).run(6)
             assert not figures.late
 
         run_fleet(main)
