--- a/bergamotcourse/tests/platform/test_processes.py
+++ b/bergamotcourse/tests/platform/test_processes.py
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from bergamotcourse.daemons.job_entry import BALANCER_SECONDS
+from bergamotcourse.daemons.job_entry import BALANCER_REACTION_SECONDS
 from bergamotcourse.tests.platform.cluster import Cluster, make_job, submit_job
 from bergamotcourse.transport.http_client import HttpClient
 
@@ -103,7 +103,7 @@
                 await stream.send_all(start.encode())
                 entry.send_signal(signal.SIGTERM)
                 await entry.wait_for_log_event("entry.stopping")
-                await trio.sleep(BALANCER_SECONDS + 0.2)
+                await trio.sleep(BALANCER_REACTION_SECONDS + 0.2)
                 await stream.send_all(request.body)
                 answer = b"".join([data async for data in stream])
                 await stream.aclose()
